--- a/features/harness/engines.py
+++ b/features/harness/engines.py
@@ -9,9 +9,9 @@
 from jasperweir.components.mapswitch import counter as counter_lib
 from jasperweir.components.mapswitch import group as group_lib
 from jasperweir.components.mapswitch import messages
-from jasperweir.components.mapswitch import plan
+from jasperweir.components.mapswitch import order_executor
+from jasperweir.components.mapswitch import placement_search
 from jasperweir.components.mapswitch import relays as relays_lib
-from jasperweir.components.mapswitch import runner as runner_lib
 from jasperweir.helpers import codec
 
 STEP = 0.01
@@ -45,7 +45,7 @@
         self.version = 0
         self.highest = 0
         self.held_map = tuple(
-            plan.initial(ranks, ENGINE.experts)[number]
+            placement_search.initial_placement(ranks, ENGINE.experts)[number]
             for _ in range(ENGINE.sets)
         )
         self.prepared = 0
@@ -206,7 +206,9 @@
         self.rng = random.Random(seed)
         self.group = Group(ranks, seed)
         self.now = 0.0
-        self.agents = {f"a{i}": runner_lib.Runner() for i in range(ranks)}
+        self.agents = {
+            f"a{i}": order_executor.OrderExecutor() for i in range(ranks)
+        }
         self.counters = {name: counter_lib.Counter() for name in self.agents}
         self.leaders = {}
         self.direct = {}
@@ -242,8 +244,8 @@
             name=name,
             term_at=lambda _: 0 if name in self.deposed else term,
         )
-        self.leaders[name].lead(term)
-        self.leaders[name].on_entries(["e1"])
+        self.leaders[name].set_term(term)
+        self.leaders[name].set_entries(["e1"])
         return name
 
     def run(self, seconds):
@@ -254,7 +256,7 @@
             for name, until in list(self.down.items()):
                 if self.now >= until:
                     del self.down[name]
-                    self.agents[name] = runner_lib.Runner()
+                    self.agents[name] = order_executor.OrderExecutor()
             self.beats()
             for name, leader in list(self.leaders.items()):
                 if name in self.frozen:
@@ -262,7 +264,7 @@
                 for i, agent in enumerate(self.agents):
                     place = f"p{i % 2}" if self.relays else "p"
                     leader.on_agent(agent, place, self.now)
-                leader.on_relays(self.relays)
+                leader.set_relays(self.relays)
                 self.perform(name, leader.tick(self.now))
             self.deliver()
 
@@ -332,15 +334,15 @@
                 continue
             elif isinstance(msg, relays_lib.OrderRelay):
                 self.perform(dst, relays_lib.expand(msg))
-            elif dst in self.entries and isinstance(msg, messages.OrderAsk):
+            elif dst in self.entries and isinstance(msg, messages.OrderRequest):
                 self.on_order(dst, None, src, msg)
             elif dst in self.agents and self.is_up(dst):
                 runner = self.agents[dst]
                 match msg:
-                    case messages.PaceAsk():
+                    case messages.ReportRateRequest():
                         runner.on_term(msg.term)
                         self.note_counted(dst, msg.counted)
-                    case messages.OrderAsk():
+                    case messages.OrderRequest():
                         self.on_order(dst, runner, msg.leader or src, msg)
 
     def note_counted(self, agent, counted):
@@ -353,9 +355,9 @@
         if ask.engine != name:
             key = (name, ask.engine)
             runner = self.direct.setdefault(
-                key, runner_lib.Runner(reads_are_fresh=False)
+                key, order_executor.OrderExecutor(reads_are_fresh=False)
             )
-        self.drive(name, runner, runner.on_ask(src, ask), ask.engine)
+        self.drive(name, runner, runner.on_order(src, ask), ask.engine)
 
     def perform(self, name, acts):
         for act in acts:
@@ -364,14 +366,14 @@
                     self.send(name, act.dst, act.msg)
                 case actions.PhaseChanged():
                     self.phases.append((round(self.now, 2), name, act))
-                case actions.Direct():
+                case actions.SendDirectly():
                     order = codec.unpack_tagged(act.ask.order)
                     self.given_directly.append(order)
                     key = (name, act.ask.engine)
                     runner = self.direct.setdefault(
-                        key, runner_lib.Runner(reads_are_fresh=False)
+                        key, order_executor.OrderExecutor(reads_are_fresh=False)
                     )
-                    acts_now = runner.on_ask(act.agent, act.ask)
+                    acts_now = runner.on_order(act.agent, act.ask)
                     self.drive(name, runner, acts_now, act.ask.engine)
 
     def drive(self, host, runner, acts, agent):
@@ -383,9 +385,9 @@
                     self.send(agent, host, act.msg)
                 case core.Send():
                     self.send(host, act.dst, act.msg)
-                case runner_lib.Read():
+                case order_executor.ReadState():
                     rank = self.group.ranks[number]
                     acts += runner.on_read(self.group.state(rank))
-                case runner_lib.Post():
+                case order_executor.PostOrder():
                     status = self.group.order(number, act.order, act.epoch)
                     acts += runner.on_answer(act.order, status)
--- a/features/harness/matrix.py
+++ b/features/harness/matrix.py
@@ -354,12 +354,12 @@
 
 def relay_cell(tap: Tap) -> None:
     """The same with orders that others pass on, however small they are."""
-    least = (const.RELAY_LEAST_BYTES, const.RELAY_LEAST_AGENTS)
-    const.RELAY_LEAST_BYTES, const.RELAY_LEAST_AGENTS = 0, 1
+    least = (const.MIN_RELAY_BYTES, const.MIN_RELAY_AGENTS)
+    const.MIN_RELAY_BYTES, const.MIN_RELAY_AGENTS = 0, 1
     try:
         mapswitch_cell(tap, relays={"p0": "r0", "p1": "r1"})
     finally:
-        const.RELAY_LEAST_BYTES, const.RELAY_LEAST_AGENTS = least
+        const.MIN_RELAY_BYTES, const.MIN_RELAY_AGENTS = least
 
 
 def mapswitch_cell(tap: Tap, relays: dict[str, str] | None = None) -> None:
--- a/features/steps/demand_steps.py
+++ b/features/steps/demand_steps.py
@@ -7,7 +7,7 @@
 
 from jasperweir.components.mapswitch import counter as counter_lib
 from jasperweir.components.mapswitch import demand as demand_lib
-from jasperweir.components.mapswitch import plan as plan_lib
+from jasperweir.components.mapswitch import placement_search
 from jasperweir.components.mapswitch import planner as planner_lib
 
 READ_SECONDS = 0.1
@@ -150,7 +150,9 @@
 
 @then("demand is expected to last between {least:g} and {most:g} seconds")
 def step_lasts(context, least, most):
-    assert least <= context.demand.lasts_s <= most, context.demand.lasts_s
+    assert least <= context.demand.expected_duration_s <= most, (
+        context.demand.expected_duration_s
+    )
 
 
 @given("an agent that has read the counts {counts}")
@@ -184,7 +186,7 @@
 @then("the counts are dropped and the demand is unknown")
 def step_dropped(context):
     assert context.demand.dropped == 1
-    assert not context.demand.settled(2.0)
+    assert not context.demand.is_settled(2.0)
 
 
 @given(
@@ -194,14 +196,14 @@
 def step_changes(context, one, two, four, before):
     context.before = before
     context.stages = [
-        plan_lib.Stage(copies=copies, peak=peak, held=())
+        placement_search.Stage(copies=copies, peak=peak, held=())
         for copies, peak in ((1, one), (2, two), (4, four))
     ]
 
 
 @when("a copy takes {copy:g} seconds and demand lasts {lasts:g} seconds")
 def step_choose(context, copy, lasts):
-    context.chosen = planner_lib.choose(
+    context.chosen = planner_lib.choose_stage(
         context.before,
         context.stages,
         copy_s=copy,
@@ -225,17 +227,19 @@
 @given("demand of 3 sets with 96 experts that has jumped, on 12 ranks")
 def step_jumped(context):
     start = tuple(
-        plan_lib.table(plan_lib.initial(RANKS, EXPERTS), EXPERTS)
+        placement_search.to_matrix(
+            placement_search.initial_placement(RANKS, EXPERTS), EXPERTS
+        )
         for _ in range(SETS)
     )
     fitted = search(start, popular(1))
-    while not fitted.go_on(100):
+    while not fitted.advance(100):
         pass
     context.start = fitted.stages[-1].held
 
 
 def search(start, shares):
-    return plan_lib.Search(
+    return placement_search.Search(
         start=start, shares=shares, pace=np.ones(RANKS), places=11, spare=4
     )
 
@@ -244,7 +248,7 @@
 def step_search(context):
     context.search = search(context.start, popular(2))
     while not context.search.stages:
-        context.search.go_on(1)
+        context.search.advance(1)
 
 
 @then("no rank copies more than {most:d} expert")
--- a/features/steps/mapswitch_plan_steps.py
+++ b/features/steps/mapswitch_plan_steps.py
@@ -10,9 +10,9 @@
 from jasperweir.components.mapswitch import counter as counter_lib
 from jasperweir.components.mapswitch import group as group_lib
 from jasperweir.components.mapswitch import messages
-from jasperweir.components.mapswitch import pacer as pacer_lib
-from jasperweir.components.mapswitch import plan as plan_lib
+from jasperweir.components.mapswitch import placement_search
 from jasperweir.components.mapswitch import planner as planner_lib
+from jasperweir.components.mapswitch import report_schedule
 
 
 @then("the hot expert is on more than one rank")
@@ -32,11 +32,12 @@
     )
     context.planner = planner_lib.Planner(engine=engine)
     weights = np.random.default_rng(1).lognormal(0.0, 1.0, (sets, experts))
-    context.planner.begin(
-        planner_lib.Question(
+    context.planner.start(
+        planner_lib.PlanRequest(
             epoch=1,
             map_version=0,
-            current=(plan_lib.initial(ranks, experts),) * sets,
+            current=(placement_search.initial_placement(ranks, experts),)
+            * sets,
             shares=weights / weights.sum(axis=1, keepdims=True),
             paces=np.ones(ranks),
         )
@@ -46,42 +47,42 @@
 @when("it is planned")
 def step_plan(context):
     context.calls = 1
-    context.outcome = context.planner.go_on()
-    while isinstance(context.outcome, planner_lib.Unfinished):
+    context.outcome = context.planner.advance()
+    while isinstance(context.outcome, planner_lib.PlanUnfinished):
         context.calls += 1
-        context.outcome = context.planner.go_on()
+        context.outcome = context.planner.advance()
 
 
 @then("no more than {count:d} sets were planned at a time")
 def step_at_a_time(context, count):
-    sets = len(context.outcome.question.shares)
+    sets = len(context.outcome.request.shares)
     assert context.calls >= sets / count, context.calls
 
 
 @then("the most loaded rank has at most {times:g} times the mean")
 def step_peak(context, times):
-    question = context.outcome.question
+    question = context.outcome.request
     for ranks, shares in zip(
         context.outcome.placement, question.shares, strict=True
     ):
-        held = plan_lib.table(ranks, len(shares))
-        peak = plan_lib.peak(held, shares, question.paces)
+        held = placement_search.to_matrix(ranks, len(shares))
+        peak = placement_search.peak(held, shares, question.paces)
         assert peak <= times, peak
 
 
 @when("it forms anew while a plan is made")
 def step_forms_while_planned(context):
     dep = context.dep
-    planner_lib.const.PLAN_MOVES, usual = (
+    planner_lib.const.MOVES_PER_PLAN_CALL, usual = (
         1,
-        (planner_lib.const.PLAN_MOVES),
+        (planner_lib.const.MOVES_PER_PLAN_CALL),
     )
     try:
         group = until_planning(dep)
         dep.group.form_anew()
         dep.run(1.0)
     finally:
-        planner_lib.const.PLAN_MOVES = usual
+        planner_lib.const.MOVES_PER_PLAN_CALL = usual
     assert not group.busy or dep.group.epoch == 2
 
 
@@ -115,7 +116,7 @@
     leader = coordinator_lib.Coordinator(
         place=place, make_group=group_lib.Group
     )
-    leader.lead(1)
+    leader.set_term(1)
     size = near + far
     for number in range(size):
         # The near agents have the higher ranks.
@@ -146,14 +147,14 @@
 
 @given("an agent of a group of {ranks:d} ranks whose counts are {wanted}")
 def step_pacer(context, ranks, wanted):
-    context.pacer = pacer_lib.Pacer()
+    context.pacer = report_schedule.ReportSchedule()
     context.now = 0.0
     state = engines.Group(ranks=1).state(engines.Rank(0, 1))
     context.state = state._replace(size=ranks)
-    context.ask = messages.PaceAsk(
+    context.ask = messages.ReportRateRequest(
         term=1, busy=False, counted=wanted == "wanted"
     )
-    context.pacer.on_ask("c1", context.ask)
+    context.pacer.on_rate_request("c1", context.ask)
 
 
 @when("its engine runs passes for {seconds:g} seconds")
@@ -164,8 +165,8 @@
         context.now += 0.05
         passes = context.state.passes + 1
         context.state = context.state._replace(passes=passes)
-        if context.pacer.read_due(context.now):
-            due = context.pacer.tell_due(context.state, context.now)
+        if context.pacer.is_read_due(context.now):
+            due = context.pacer.is_report_due(context.state, context.now)
             context.told += due
 
 
@@ -177,16 +178,16 @@
 @then("it tells at once that its engine is armed")
 def step_tells_armed(context):
     armed = context.state._replace(armed=5, armed_at=100)
-    assert not context.pacer.tell_due(context.state, context.now)
-    assert context.pacer.tell_due(armed, context.now)
+    assert not context.pacer.is_report_due(context.state, context.now)
+    assert context.pacer.is_report_due(armed, context.now)
 
 
 @when("another leader asks it")
 def step_other_leader(context):
-    assert not context.pacer.tell_due(context.state, context.now)
-    context.pacer.on_ask("c2", context.ask)
+    assert not context.pacer.is_report_due(context.state, context.now)
+    context.pacer.on_rate_request("c2", context.ask)
 
 
 @then("it tells at once")
 def step_tells(context):
-    assert context.pacer.tell_due(context.state, context.now)
+    assert context.pacer.is_report_due(context.state, context.now)
--- a/features/steps/mapswitch_relay_steps.py
+++ b/features/steps/mapswitch_relay_steps.py
@@ -17,7 +17,7 @@
     "3 others"
 )
 def step_places(context, own, near):
-    context.relays = relays_lib.Relays(name="c0")
+    context.relays = relays_lib.OrderRelays(name="c0")
     context.sends = []
     agents = [(f"p0a{n}", "p0") for n in range(own)]
     for place in ("p1", "p2", "p3"):
@@ -34,16 +34,16 @@
     context.sends = [
         core.Send(
             dst=name,
-            msg=messages.OrderAsk(number, 7, 2, f"engine of {name}", order),
+            msg=messages.OrderRequest(number, 7, 2, f"engine of {name}", order),
         )
         for name, number in context.sends
     ]
-    context.out = context.relays.bundle(context.sends)
+    context.out = context.relays.combine(context.sends)
 
 
 @when("it has a large order for all of them")
 def step_large(context):
-    bundle(context, const.RELAY_LEAST_BYTES, 3)
+    bundle(context, const.MIN_RELAY_BYTES, 3)
 
 
 @when(
@@ -51,7 +51,7 @@
     "heard"
 )
 def step_sized(context, size, relays):
-    least = const.RELAY_LEAST_BYTES
+    least = const.MIN_RELAY_BYTES
     bundle(context, least if size == "large" else least - 1, relays)
 
 
@@ -78,8 +78,8 @@
 
 @given("a group of 4 engines whose orders go by control VMs that are lost")
 def step_lost_relays(context):
-    context.least = (const.RELAY_LEAST_BYTES, const.RELAY_LEAST_AGENTS)
-    const.RELAY_LEAST_BYTES, const.RELAY_LEAST_AGENTS = 0, 1
+    context.least = (const.MIN_RELAY_BYTES, const.MIN_RELAY_AGENTS)
+    const.MIN_RELAY_BYTES, const.MIN_RELAY_AGENTS = 0, 1
     context.add_cleanup(restore_least, context.least)
     context.dep = engines.Deployment()
     context.dep.relays = {"p0": "r0", "p1": "r1"}
@@ -88,7 +88,7 @@
 
 
 def restore_least(least):
-    const.RELAY_LEAST_BYTES, const.RELAY_LEAST_AGENTS = least
+    const.MIN_RELAY_BYTES, const.MIN_RELAY_AGENTS = least
 
 
 @when("a control VM gets a relayed order whose content is damaged")
@@ -98,7 +98,7 @@
         term=1,
         epoch=1,
         order=b"no order",
-        asks=(relays_lib.RelayedAsk("a0", 1, "engine"),),
+        asks=(relays_lib.RelayedOrder("a0", 1, "engine"),),
     )
     context.error = None
     try:
--- a/features/steps/mapswitch_steps.py
+++ b/features/steps/mapswitch_steps.py
@@ -82,7 +82,7 @@
 @given("two entries that may give holds, the first choice cut off")
 def step_two_givers(context):
     dep = context.dep
-    dep.leaders[context.leader].on_entries(["e2", "e1"])
+    dep.leaders[context.leader].set_entries(["e2", "e1"])
     dep.cut_pair(context.leader, "e1")
 
 
@@ -98,7 +98,7 @@
     held_up = []
 
     def tap(dep, src, dst, msg):
-        if not isinstance(msg, messages.OrderAsk) or held_up:
+        if not isinstance(msg, messages.OrderRequest) or held_up:
             return False
         if not isinstance(codec.unpack_tagged(msg.order), messages.Hold):
             return False
@@ -259,7 +259,7 @@
             break
     assert group is not None and group.phase is group_lib.Phase.ARMING
     # What it would send again is what has not been answered.
-    later = context.dep.now + const.DIRECT_SECONDS
+    later = context.dep.now + const.DIRECT_ORDER_DELAY_SECONDS
     acts = group.tick(later)
     context.numbers = [
         act.msg.number for act in acts if isinstance(act, core.Send)
@@ -276,7 +276,7 @@
 
 @when("an answer that waited for it is read before its timers run")
 def step_read_late(context):
-    done = messages.OrderDone(context.numbers[0], 1, True, None)
+    done = messages.OrderResult(context.numbers[0], 1, True, None)
     context.given = context.dep.leaders[context.leader].receive(
         "a0", done, {"s": engines.ENGINE}, context.dep.now
     )
--- a/jasperweir/components/mapswitch/actions.py
+++ b/jasperweir/components/mapswitch/actions.py
@@ -5,11 +5,11 @@
 from jasperweir.components.mapswitch import messages
 
 
-class Direct(NamedTuple):
+class SendDirectly(NamedTuple):
     """Action: give an order to an engine whose agent does not answer."""
 
     agent: str
-    ask: messages.OrderAsk
+    ask: messages.OrderRequest
 
 
 class DemandJumped(NamedTuple):
@@ -28,7 +28,7 @@
     gap_s: float
 
 
-class Planned(NamedTuple):
+class PlanAccepted(NamedTuple):
     """Action: record a plan that is carried out.
 
     Attributes:
@@ -48,7 +48,7 @@
     since_jump_s: float
 
 
-class Switched(NamedTuple):
+class SwitchCompleted(NamedTuple):
     """Action: record how long the parts of a switch took, seconds.
 
     Attributes:
--- a/jasperweir/components/mapswitch/const.py
+++ b/jasperweir/components/mapswitch/const.py
@@ -7,7 +7,7 @@
 BUSY_READ_SECONDS = 0.05
 # An agent is asked for the same again after this long: it may have started
 # anew. Asked at each look, 192 agents got 640 frames a second. Seconds.
-ASK_AGAIN_SECONDS = 1.0
+RATE_REQUEST_RESEND_SECONDS = 1.0
 # Agents in the leader's data centre, whose beats cost nothing between data
 # centres, tell their counts this often, so that a jump in demand is seen
 # within two or three reads, seconds.
@@ -15,63 +15,63 @@
 # An agent whose counts are not wanted beats this often if nothing changes.
 QUIET_BEAT_SECONDS = 0.6
 # A change of pace of this much is told at once.
-PACE_STEP = 0.1
+MIN_PACE_CHANGE = 0.1
 # The time of a pass is measured over at least this long, seconds.
-PACE_SECONDS = 0.25
+PACE_WINDOW_SECONDS = 0.25
 # A beat older than this does not count, seconds.
-FRESH_SECONDS = 1.6
+HEARTBEAT_MAX_AGE_SECONDS = 1.6
 # Time constant of the demand average between two jumps, seconds: the length
 # of a stream, since most of the counts are prompt tokens, which tell what the
 # streams that have just begun will choose.
-DEMAND_SECONDS = 1.2
+DEMAND_TIME_CONSTANT_SECONDS = 1.2
 # Counts of this last time are compared with those before them, seconds: two
 # reads of the agents that tell most often.
-FRESH_COUNT_SECONDS = 0.2
+RECENT_COUNTS_SECONDS = 0.2
 # Counts that began this long before a jump was seen may hold older choices.
 JUMP_MARGIN_SECONDS = 0.05
 # No plan is made for so long after that, seconds: until each agent that tells
 # most often has counted once. Two prompts alone would look like the demand.
 JUMP_SETTLE_SECONDS = 0.15
 # Choices that must have been counted before a plan is made.
-DEMAND_LEAST = 20_000.0
+MIN_DEMAND_CHOICES = 20_000.0
 # A distance (half the sum of differences of shares) below this is no jump: one
 # of 0.1 is what a few prompts more or less of one topic make.
-JUMP_LEAST = 0.18
+MIN_JUMP_DISTANCE = 0.18
 # And it must be this many usual deviations above the usual distance.
 JUMP_DEVIATIONS = 4.0
 # After a jump the counts are too few for another comparison for this long,
 # seconds.
-JUMP_REST_SECONDS = 0.6
+JUMP_COOLDOWN_SECONDS = 0.6
 # How far one reading moves the usual distance and its deviation.
 NOISE_SMOOTHING = 0.05
 # The usual distance before any has been measured, and its deviation.
-NOISE_FIRST = (0.1, 0.03)
+INITIAL_NOISE = (0.1, 0.03)
 # Demand is expected to last this long before a jump has been seen, and no
 # longer than this in any case, seconds.
-CALM_SECONDS = 10.0
+MAX_DEMAND_DURATION_SECONDS = 10.0
 # Gaps between jumps, of which the expected one is the mean.
-JUMPS_KEPT = 5
+MAX_JUMP_GAPS = 5
 # A group at rest is looked at as a whole no more often than this: agents that
 # tell their counts ten times a second each bring one forward. Seconds.
-LOOK_SECONDS = 0.01
+MIN_CHECK_INTERVAL_SECONDS = 0.01
 # Least time between two plans of a group, seconds.
-PLAN_SECONDS = 0.2
+PLAN_INTERVAL_SECONDS = 0.2
 # A switch takes this long besides its copies until it has been measured,
 # seconds.
-SWITCH_SECONDS = 0.4
+INITIAL_SWITCH_SECONDS = 0.4
 # A switch must lower the peak by this share: below, it is within what few
 # prompts more or less of one topic make.
-LEAST_GAIN = 0.1
+MIN_GAIN = 0.1
 # What a second of copying costs, in seconds of a peak of 1: passes take 0.15
 # longer meanwhile, a pass is some four times its expert part at peak 1, and a
 # jump that comes meanwhile finds the ranks busy.
 COPY_COST = 1.0
 # A plan is good enough at this load of the slowest rank over the mean: what
 # further copies would bring is below what they cost.
-GOOD_PEAK = 1.2
+SUFFICIENT_PEAK = 1.2
 # Entries are told again which targets are slow after this long, seconds; they
 # believe it for four times as long.
-TELL_SLOW_SECONDS = 0.5
+SLOW_TARGETS_RESEND_SECONDS = 0.5
 # Targets from this pace on are named to the entries as slow.
 SLOW_PACE = 1.15
 # A copy goes to one of this many of the least loaded ranks; more make a plan
@@ -81,7 +81,7 @@
 CANDIDATE_EXPERTS = 6
 # Moves that are planned at a time, some 20 ms of work on a control VM at most
 # (0.2 to 1.2 ms a move), while heartbeats of the log are 150 ms apart.
-PLAN_MOVES = 16
+MOVES_PER_PLAN_CALL = 16
 # Between two such parts the VM does what else has come, seconds.
 PLAN_PAUSE_SECONDS = 0.002
 # Ranks of a group whose counts are read; requests are spread over the ranks,
@@ -90,19 +90,19 @@
 
 # Time in which all ranks must have copied their new experts, seconds: eight
 # experts of 880 MB take some 0.3 s at the platform's usual link.
-PREPARE_SECONDS = 6.0
+PREPARE_TIMEOUT_SECONDS = 6.0
 # The held pass lies ahead of the newest one by what the orders of the last
 # switches took, times this, so that nothing waits for them.
 HOLD_AHEAD_FACTOR = 2.0
 # And by no less and no more than this, seconds; the first is what the orders
 # of a switch take on a sound network (25 ms, 34 ms at most in 18 switches).
-HOLD_AHEAD_SECONDS = (0.035, 1.2)
+HOLD_AHEAD_RANGE_SECONDS = (0.035, 1.2)
 # A hold that came after its pass is given again so many times.
-HOLD_TRIES = 3
+MAX_HOLD_ATTEMPTS = 3
 # Part of a pass after which the next one is taken to have begun.
 PASS_BEGUN_SHARE = 0.3
 # Until orders have been timed they are expected to take this long, seconds.
-ORDERS_SECONDS = 0.05
+INITIAL_ORDERING_SECONDS = 0.05
 # And after a switch that was called off, when orders get lost.
 HOLD_AHEAD_CAREFUL_SECONDS = 1.2
 # Switches that must go well before the shorter time is used again.
@@ -111,21 +111,21 @@
 HOLD_AHEAD_PASSES = 1
 # A state that follows from an order's answer is not replaced by a beat for
 # this long: the beat may have been read before the order. Seconds.
-STATE_HOLDS_SECONDS = 0.2
+ORDER_STATE_SECONDS = 0.2
 # Arming that takes longer is called off, seconds.
-ARM_SECONDS = 1.0
+ARM_TIMEOUT_SECONDS = 1.0
 # After a switch that failed the group is left alone for this long, seconds.
-REST_SECONDS = 1.5
+FAILED_SWITCH_BACKOFF_SECONDS = 1.5
 # An agent that has not carried out an order after this long is passed by:
 # the leader gives the order itself, which is priced. Seconds.
-DIRECT_SECONDS = 0.3
+DIRECT_ORDER_DELAY_SECONDS = 0.3
 # After that it is tried again this often, seconds.
-RESEND_SECONDS = 1.0
+ORDER_RESEND_SECONDS = 1.0
 
 # Orders from this size on are passed on by a control VM of each data centre, if
 # as many agents are there; smaller ones must not take the longer way. Bytes.
-RELAY_LEAST_BYTES = 2000
-RELAY_LEAST_AGENTS = 4
+MIN_RELAY_BYTES = 2000
+MIN_RELAY_AGENTS = 4
 # A control VM that was not heard for longer passes nothing on: it beats four
 # times a second. Seconds.
 RELAY_FRESH_SECONDS = 0.6
@@ -134,6 +134,6 @@
 RELAY_COMPRESS_LEVEL = 1
 
 # An engine on the same VM answers within milliseconds; later means lost.
-ORDER_SECONDS = 0.08
+ORDER_TIMEOUT_SECONDS = 0.08
 # Tries of one order before its failure is reported.
-ORDER_TRIES = 6
+MAX_ORDER_ATTEMPTS = 6
--- a/jasperweir/components/mapswitch/coordinator.py
+++ b/jasperweir/components/mapswitch/coordinator.py
@@ -28,10 +28,10 @@
     at: float
 
 
-class Asked(NamedTuple):
+class SentRequest(NamedTuple):
     """What an agent was asked for last, and when."""
 
-    ask: messages.PaceAsk
+    ask: messages.ReportRateRequest
     at: float
 
 
@@ -62,19 +62,19 @@
         """
         self._term_at = term_at
         self._place = place
-        self._relays = relays_lib.Relays(name=name)
+        self._relays = relays_lib.OrderRelays(name=name)
         self._make_group = make_group
         self._term = 0
         self._groups: dict[str, group_lib.Group] = {}
         self._agents: dict[str, Agent] = {}
         self._numbers = itertools.count(1)
-        self._looked_at = float("-inf")
+        self._requests_checked_at = float("-inf")
         # What each agent was asked last, and when.
-        self._asked: dict[str, Asked] = {}
-        self._givers: tuple[str, ...] = ()
+        self._sent_requests: dict[str, SentRequest] = {}
+        self._hold_senders: tuple[str, ...] = ()
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this control VM leads."""
         return self._term > 0
 
@@ -87,32 +87,32 @@
         """Return the groups known in this term."""
         return list(self._groups.values())
 
-    def lead(self, term: int) -> None:
+    def set_term(self, term: int) -> None:
         """Begin a term, or with 0 stop; nothing of an older one is kept."""
         if term == self._term:
             return
         self._term = term
         self._groups = {}
-        self._looked_at = float("-inf")
-        self._asked = {}
+        self._requests_checked_at = float("-inf")
+        self._sent_requests = {}
 
-    def _leads_at(self, now: float) -> bool:
+    def _is_leader_at(self, now: float) -> bool:
         if self._term_at is not None:
-            self.lead(self._term_at(now))
-        return self.leads
+            self.set_term(self._term_at(now))
+        return self.is_leader
 
-    def on_entries(self, names: list[str]) -> None:
+    def set_entries(self, names: list[str]) -> None:
         """Note the entries; one of them gives the holds of each group."""
-        self._givers = tuple(names)
+        self._hold_senders = tuple(names)
         for group in self._groups.values():
-            group.set_givers(self._givers)
+            group.set_hold_senders(self._hold_senders)
 
     def on_agent(self, name: str, place: str, now: float) -> None:
         """Note an agent that beats here."""
         self._agents[name] = Agent(place=place, at=now)
         self._relays.on_agent(name, place)
 
-    def on_relays(self, by_place: dict[str, str]) -> None:
+    def set_relays(self, by_place: dict[str, str]) -> None:
         """Note the control VMs of other data centres that pass orders on."""
         self._relays.update(by_place)
 
@@ -124,12 +124,12 @@
         now: float,
     ) -> Actions:
         """Handle a message of an agent."""
-        if not self._leads_at(now):
+        if not self._is_leader_at(now):
             return []
         match msg:
             case messages.EngineBeat():
                 return self._on_beat(src, msg, engines, now)
-            case messages.OrderDone():
+            case messages.OrderResult():
                 out: Actions = []
                 for group in self._groups.values():
                     out += group.on_done(msg, now)
@@ -138,17 +138,17 @@
 
     def tick(self, now: float) -> Actions:
         """Let time pass."""
-        if not self._leads_at(now):
+        if not self._is_leader_at(now):
             return []
         out: Actions = []
-        if now - self._looked_at > const.READ_SECONDS:
-            self._looked_at = now
-            out += self._ask_paces(now)
+        if now - self._requests_checked_at > const.READ_SECONDS:
+            self._requests_checked_at = now
+            out += self._send_rate_requests(now)
         for group in self._groups.values():
             was_busy = group.busy
             out += group.tick(now)
             if group.busy and not was_busy:
-                out += self._ask_paces(now)
+                out += self._send_rate_requests(now)
         return out
 
     def slow_targets(self) -> messages.SlowTargets:
@@ -162,28 +162,28 @@
             )
         )
 
-    def _ask_paces(self, now: float) -> Actions:
+    def _send_rate_requests(self, now: float) -> Actions:
         busy = any(group.busy for group in self._groups.values())
-        counted = self._counted()
+        counted = self._select_counted_agents()
         out: Actions = []
         for name, agent in self._agents.items():
-            if now - agent.at >= const.FRESH_SECONDS * 4:
+            if now - agent.at >= const.HEARTBEAT_MAX_AGE_SECONDS * 4:
                 continue
-            ask = messages.PaceAsk(
+            ask = messages.ReportRateRequest(
                 term=self._term,
                 busy=busy,
                 counted=name in counted,
                 near=agent.place == self._place,
             )
-            asked = self._asked.get(name)
+            asked = self._sent_requests.get(name)
             if asked is not None and asked.ask == ask:
-                if now - asked.at < const.ASK_AGAIN_SECONDS:
+                if now - asked.at < const.RATE_REQUEST_RESEND_SECONDS:
                     continue
-            self._asked[name] = Asked(ask=ask, at=now)
+            self._sent_requests[name] = SentRequest(ask=ask, at=now)
             out.append(core.Send(dst=name, msg=ask))
         return out
 
-    def _counted(self) -> set[str]:
+    def _select_counted_agents(self) -> set[str]:
         """Return the agents whose counts are read, the near ones first."""
         if not self._groups:
             # Whoever tells first also tells its counts.
@@ -218,7 +218,7 @@
                 engine=engine,
                 term=self._term,
                 numbers=self._numbers,
-                givers=self._givers,
+                hold_senders=self._hold_senders,
                 relays=self._relays,
             )
             self._groups[name] = group
--- a/jasperweir/components/mapswitch/givers.py
+++ b/jasperweir/components/mapswitch/hold_senders.py
@@ -1,7 +1,7 @@
 """Which node gives the holds of a group; sans-I/O."""
 
 
-class Givers:
+class HoldSenders:
     """Entries that may give holds, one of which does."""
 
     def __init__(self, names: tuple[str, ...] = ()) -> None:
@@ -14,7 +14,7 @@
         if self.current not in names:
             self.current = names[-1] if names else ""
 
-    def pass_over(self) -> None:
+    def select_next(self) -> None:
         """Let another node give the next holds: this one does not answer."""
         if self.current in self._names:
             at = self._names.index(self.current)
--- a/jasperweir/components/mapswitch/members.py
+++ b/jasperweir/components/mapswitch/members.py
@@ -22,7 +22,7 @@
     passes: int = 0
     since: float = float("-inf")
 
-    def told(self, passes: int, now: float) -> "PassPace":
+    def updated(self, passes: int, now: float) -> "PassPace":
         """Return the pace after a rank has told of a pass.
 
         It is measured over some passes: of two beats that follow closely, one
@@ -30,7 +30,10 @@
         """
         if passes < self.passes or self.since == float("-inf"):
             return PassPace(self.seconds, passes, now)
-        if now - self.since < const.PACE_SECONDS or passes == self.passes:
+        if (
+            now - self.since < const.PACE_WINDOW_SECONDS
+            or passes == self.passes
+        ):
             return self
         seconds = (now - self.since) / (passes - self.passes)
         return PassPace(seconds, passes, now)
@@ -54,9 +57,9 @@
     agent: str
     beat: messages.EngineBeat
     heard_at: float
-    holds_until: float = 0.0
-    passes_at: float = 0.0
-    told_held: int = 0
+    state_fixed_until: float = 0.0
+    pass_reported_at: float = 0.0
+    reported_held: int = 0
     pace: PassPace = PassPace()
 
     @property
@@ -68,7 +71,7 @@
         """Return how many passes may have begun since the last beat."""
         if pass_seconds <= 0:
             return 0
-        begun = (now - self.passes_at) / pass_seconds
+        begun = (now - self.pass_reported_at) / pass_seconds
         return math.floor(begun + 1 - const.PASS_BEGUN_SHARE)
 
 
@@ -87,29 +90,29 @@
         if member is None:
             member = Member(agent=src, beat=beat, heard_at=now)
             self._by_rank[beat.state.rank] = member
-            self._index()
+            self._rebuild_index()
         elif member.agent != src:
             member.agent = src
-            self._index()
-        self._renew(member, beat, now)
+            self._rebuild_index()
+        self._update_member(member, beat, now)
 
-    def _index(self) -> None:
+    def _rebuild_index(self) -> None:
         self._ordered = [self._by_rank[n] for n in sorted(self._by_rank)]
         # Of two ranks at one agent the lower one counts.
         self._by_agent = {m.agent: m for m in reversed(self._ordered)}
 
-    def _renew(
+    def _update_member(
         self, member: Member, beat: messages.EngineBeat, now: float
     ) -> None:
-        member.told_held = beat.state.held
-        member.pace = member.pace.told(beat.state.passes, now)
+        member.reported_held = beat.state.held
+        member.pace = member.pace.updated(beat.state.passes, now)
         member.heard_at = now
-        if now < member.holds_until:
+        if now < member.state_fixed_until:
             member.beat = beat._replace(state=member.state)
             return
         member.beat = beat
-        member.holds_until = 0.0
-        member.passes_at = now
+        member.state_fixed_until = 0.0
+        member.pass_reported_at = now
 
     def on_state(
         self, agent: str, state: messages.EngineState, now: float
@@ -119,12 +122,12 @@
         if member is None or member.agent != agent:
             return
         if state.passes > member.state.passes:
-            member.passes_at = now
+            member.pass_reported_at = now
         member.beat = member.beat._replace(state=state)
-        member.told_held = state.held
-        member.holds_until = now + const.STATE_HOLDS_SECONDS
+        member.reported_held = state.held
+        member.state_fixed_until = now + const.ORDER_STATE_SECONDS
 
-    def of(self, agent: str) -> Member | None:
+    def find_by_agent(self, agent: str) -> Member | None:
         """Return the rank at an agent."""
         return self._by_agent.get(agent)
 
@@ -132,7 +135,7 @@
         """Return the known ranks in order."""
         return self._ordered
 
-    def complete(self, term: int, now: float) -> bool:
+    def is_complete(self, term: int, now: float) -> bool:
         """Tell whether every rank is known, fresh and in step."""
         members = self.all()
         if not members:
@@ -141,7 +144,7 @@
         if len(members) != first.size:
             return False
         return all(
-            now - m.heard_at < const.FRESH_SECONDS
+            now - m.heard_at < const.HEARTBEAT_MAX_AGE_SECONDS
             and m.beat.term == term
             and m.state.is_open
             and m.state.epoch == first.epoch
@@ -151,15 +154,15 @@
 
     def any_held(self) -> bool:
         """Tell whether any rank holds a pass."""
-        return any(m.told_held for m in self._by_rank.values())
+        return any(m.reported_held for m in self._by_rank.values())
 
-    def uniform(self) -> bool:
+    def is_uniformly_armed(self) -> bool:
         """Tell whether every rank is armed for one map and pass."""
         states = [m.state for m in self.all()]
         targets = {(s.armed, s.armed_at) for s in states}
         return len(targets) == 1 and states[0].armed > 0
 
-    def in_epoch(self, epoch: int) -> bool:
+    def is_in_epoch(self, epoch: int) -> bool:
         """Tell whether the group has not formed anew since an epoch."""
         return all(m.state.epoch == epoch for m in self.all())
 
@@ -188,11 +191,13 @@
         return statistics.median(times) if times else 0.0
 
 
-def same_step(state: messages.EngineState, other: messages.EngineState) -> bool:
+def is_same_step(
+    state: messages.EngineState, other: messages.EngineState
+) -> bool:
     """Tell whether what the steps of a switch follow from is the same."""
-    return _steps(state) == _steps(other)
+    return _step_state(state) == _step_state(other)
 
 
-def _steps(state: messages.EngineState) -> messages.EngineState:
+def _step_state(state: messages.EngineState) -> messages.EngineState:
     """Return the part of a state that the steps of a switch follow from."""
     return state._replace(passes=0, sequence=0, pace=0.0, running=0, queued=0)
--- a/jasperweir/components/mapswitch/messages.py
+++ b/jasperweir/components/mapswitch/messages.py
@@ -88,7 +88,7 @@
 
 
 @codec.message("mapswitch.order_ask")
-class OrderAsk(NamedTuple):
+class OrderRequest(NamedTuple):
     """The leader of a term has an order for the engine at an agent.
 
     Attributes:
@@ -109,7 +109,7 @@
 
 
 @codec.message("mapswitch.order_done")
-class OrderDone(NamedTuple):
+class OrderResult(NamedTuple):
     """What became of an order.
 
     Attributes:
@@ -163,7 +163,7 @@
 
 
 @codec.message("mapswitch.pace")
-class PaceAsk(NamedTuple):
+class ReportRateRequest(NamedTuple):
     """The leader of a term wants beats at a faster or slower pace.
 
     Attributes:
--- a/jasperweir/components/mapswitch/runner.py
+++ b/jasperweir/components/mapswitch/order_executor.py
@@ -19,11 +19,11 @@
 Actions = list[Any]
 
 
-class Read(NamedTuple):
+class ReadState(NamedTuple):
     """Action: read the engine's state; ``on_read`` follows."""
 
 
-class Post(NamedTuple):
+class PostOrder(NamedTuple):
     """Action: send an order to the engine; ``on_answer`` follows."""
 
     order: messages.Order
@@ -44,13 +44,13 @@
     """
 
     src: str
-    ask: messages.OrderAsk
+    ask: messages.OrderRequest
     order: messages.Order
     tries: int = 0
     refused: bool = False
 
 
-class Runner:
+class OrderExecutor:
     """Carry out one order at a time; a newer one takes its place.
 
     Attributes:
@@ -68,9 +68,9 @@
         self.term = 0
         self._reads_are_fresh = reads_are_fresh
         self._job: Job | None = None
-        self._done: messages.OrderDone | None = None
+        self._done: messages.OrderResult | None = None
         # Whether a read or a post is under way.
-        self._waiting = False
+        self._is_action_pending = False
 
     # Inputs.
 
@@ -81,11 +81,11 @@
             self._job = None
             self._done = None
 
-    def on_ask(self, src: str, ask: messages.OrderAsk) -> Actions:
+    def on_order(self, src: str, ask: messages.OrderRequest) -> Actions:
         """Take in an order."""
         self.on_term(ask.term)
         if ask.term < self.term:
-            done = messages.OrderDone(ask.number, self.term, False, None)
+            done = messages.OrderResult(ask.number, self.term, False, None)
             return [core.Send(dst=src, msg=done)]
         if self._done is not None and self._done.number == ask.number:
             return [core.Send(dst=src, msg=self._done)]
@@ -95,29 +95,29 @@
             return []
         order = codec.unpack_tagged(ask.order)
         self._job = Job(src=src, ask=ask, order=order)
-        return self._go_on(self._job)
+        return self._continue(self._job)
 
     def on_read(self, state: messages.EngineState | None) -> Actions:
         """Take in the engine's state, None if it could not be read."""
-        self._waiting = False
+        self._is_action_pending = False
         job = self._job
         if job is None:
             return []
         if state is None:
             job.tries += 1
-            if job.tries >= const.ORDER_TRIES:
+            if job.tries >= const.MAX_ORDER_ATTEMPTS:
                 return self._finish(job, None, ok=False)
-            return self._go_on(job)
-        if is_met(job.order, state):
+            return self._continue(job)
+        if is_satisfied(job.order, state):
             return self._finish(job, state, ok=True)
-        spent = job.tries >= const.ORDER_TRIES
+        spent = job.tries >= const.MAX_ORDER_ATTEMPTS
         if job.refused or spent or state.epoch != job.ask.epoch:
             return self._finish(job, state, ok=False)
         return self._post(job, state.epoch, state.sequence)
 
     def on_answer(self, order: messages.Order, status: int | None) -> Actions:
         """Take in the status of a posted order, None for no answer."""
-        self._waiting = False
+        self._is_action_pending = False
         job = self._job
         if job is None:
             return []
@@ -127,33 +127,33 @@
             if accepted or not self._reads_are_fresh:
                 # At once: this VM may be gone a moment later.
                 return self._finish(job, None, ok=accepted)
-        return self._go_on(job)
+        return self._continue(job)
 
-    def _go_on(self, job: Job) -> Actions:
-        if self._waiting:
+    def _continue(self, job: Job) -> Actions:
+        if self._is_action_pending:
             return []
         if self._reads_are_fresh:
-            self._waiting = True
-            return [Read()]
-        if job.tries >= const.ORDER_TRIES:
+            self._is_action_pending = True
+            return [ReadState()]
+        if job.tries >= const.MAX_ORDER_ATTEMPTS:
             return self._finish(job, None, ok=False)
         return self._post(job, job.ask.epoch, None)
 
     def _post(self, job: Job, epoch: int, sequence: int | None) -> Actions:
         job.tries += 1
-        self._waiting = True
-        return [Post(order=job.order, epoch=epoch, sequence=sequence)]
+        self._is_action_pending = True
+        return [PostOrder(order=job.order, epoch=epoch, sequence=sequence)]
 
     def _finish(
         self, job: Job, state: messages.EngineState | None, *, ok: bool
     ) -> Actions:
-        done = messages.OrderDone(job.ask.number, self.term, ok, state)
+        done = messages.OrderResult(job.ask.number, self.term, ok, state)
         self._job = None
         self._done = done
         return [core.Send(dst=job.src, msg=done)]
 
 
-def after(
+def state_after(
     order: messages.Order, state: messages.EngineState
 ) -> messages.EngineState:
     """Return an engine's state after it has accepted an order."""
@@ -171,7 +171,7 @@
             return state
 
 
-def is_met(order: messages.Order, state: messages.EngineState) -> bool:
+def is_satisfied(order: messages.Order, state: messages.EngineState) -> bool:
     """Tell whether an engine is in the state that an order asks for."""
     match order:
         case messages.Prepare():
--- a/jasperweir/components/mapswitch/orders.py
+++ b/jasperweir/components/mapswitch/orders.py
@@ -16,11 +16,11 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Outstanding:
+class PendingOrder:
     """An order that its agent has not answered yet."""
 
     agent: str
-    ask: messages.OrderAsk
+    ask: messages.OrderRequest
     order: messages.Order
     due_at: float
 
@@ -33,35 +33,35 @@
         *,
         term: int,
         numbers: "itertools.count[int]",
-        relays: relays_lib.Relays,
+        relays: relays_lib.OrderRelays,
     ) -> None:
         self._term = term
         self._relays = relays
         self._numbers = numbers
-        self._outstanding: dict[str, Outstanding] = {}
+        self._pending: dict[str, PendingOrder] = {}
         # Agents by the numbers of their orders.
-        self._agents: dict[int, str] = {}
+        self._agents_by_number: dict[int, str] = {}
         self._packed_order: messages.Order | None = None
         self._packed = b""
 
     @property
-    def open(self) -> bool:
+    def has_pending(self) -> bool:
         """Whether any order has not been answered."""
-        return bool(self._outstanding)
+        return bool(self._pending)
 
     def clear(self) -> None:
         """Wait for no answer any more."""
-        self._outstanding.clear()
-        self._agents.clear()
+        self._pending.clear()
+        self._agents_by_number.clear()
 
-    def take(self, number: int) -> Outstanding | None:
+    def pop(self, number: int) -> PendingOrder | None:
         """Return and close the order of a number."""
-        agent = self._agents.pop(number, None)
+        agent = self._agents_by_number.pop(number, None)
         if agent is None:
             return None
-        return self._outstanding.pop(agent, None)
+        return self._pending.pop(agent, None)
 
-    def give(
+    def send(
         self,
         member: members_lib.Member,
         order: messages.Order,
@@ -71,26 +71,26 @@
         giver: str,
     ) -> Actions:
         """Give an order for a rank, through its agent or another node."""
-        ask = messages.OrderAsk(
+        ask = messages.OrderRequest(
             number=next(self._numbers),
             term=self._term,
             epoch=epoch,
             engine=member.beat.address,
             order=self._pack(order),
         )
-        replaced = self._outstanding.get(member.agent)
+        replaced = self._pending.get(member.agent)
         if replaced is not None:
-            self._agents.pop(replaced.ask.number, None)
-        self._agents[ask.number] = member.agent
-        self._outstanding[member.agent] = Outstanding(
+            self._agents_by_number.pop(replaced.ask.number, None)
+        self._agents_by_number[ask.number] = member.agent
+        self._pending[member.agent] = PendingOrder(
             agent=member.agent,
             ask=ask,
             order=order,
-            due_at=now + const.DIRECT_SECONDS,
+            due_at=now + const.DIRECT_ORDER_DELAY_SECONDS,
         )
         return [core.Send(dst=giver or member.agent, msg=ask)]
 
-    def give_all(
+    def send_all(
         self,
         members: list[members_lib.Member],
         order: messages.Order,
@@ -100,8 +100,8 @@
         """Give one order for several ranks, through their agents."""
         sends: Actions = []
         for member in members:
-            sends += self.give(member, order, epoch, now, giver="")
-        return self._relays.bundle(sends)
+            sends += self.send(member, order, epoch, now, giver="")
+        return self._relays.combine(sends)
 
     def _pack(self, order: messages.Order) -> bytes:
         """Pack an order, once for all ranks that get the same one."""
@@ -113,11 +113,11 @@
     def resend(self, now: float, *, direct: bool) -> Actions:
         """Send again what is due, and by itself to the engine if allowed."""
         out: Actions = []
-        for waiting in self._outstanding.values():
+        for waiting in self._pending.values():
             if now < waiting.due_at:
                 continue
-            waiting.due_at = now + const.RESEND_SECONDS
+            waiting.due_at = now + const.ORDER_RESEND_SECONDS
             out.append(core.Send(dst=waiting.agent, msg=waiting.ask))
             if direct:
-                out.append(actions.Direct(waiting.agent, waiting.ask))
+                out.append(actions.SendDirectly(waiting.agent, waiting.ask))
         return out
--- a/jasperweir/components/mapswitch/plan.py
+++ b/jasperweir/components/mapswitch/placement_search.py
@@ -20,7 +20,7 @@
 Bools = npt.NDArray[np.bool_]
 Ints = npt.NDArray[np.int64]
 # Power of the times whose sum is to become small.
-_POWER = 8
+_TIME_EXPONENT = 8
 
 
 class Stage(NamedTuple):
@@ -37,7 +37,7 @@
     held: tuple[Bools, ...]
 
 
-def table(ranks: tuple[tuple[int, ...], ...], experts: int) -> Bools:
+def to_matrix(ranks: tuple[tuple[int, ...], ...], experts: int) -> Bools:
     """Return a set's placement as a table of ranks and experts."""
     held = np.zeros((len(ranks), experts), dtype=bool)
     for rank, row in enumerate(ranks):
@@ -45,17 +45,17 @@
     return held
 
 
-def rows(held: Bools) -> tuple[tuple[int, ...], ...]:
+def to_expert_lists(held: Bools) -> tuple[tuple[int, ...], ...]:
     """Return a table as the expert numbers of each rank."""
     return tuple(tuple(int(e) for e in np.flatnonzero(row)) for row in held)
 
 
-def initial(ranks: int, experts: int) -> tuple[tuple[int, ...], ...]:
+def initial_placement(ranks: int, experts: int) -> tuple[tuple[int, ...], ...]:
     """Return the map of a new group, which assigns experts in turn."""
     return tuple(tuple(range(rank, experts, ranks)) for rank in range(ranks))
 
 
-def paces(reported: list[float]) -> Floats:
+def clip_paces(reported: list[float]) -> Floats:
     """Return how much longer each rank takes for the same work."""
     return np.maximum(np.array(reported, dtype=np.float64), 0.1)
 
@@ -74,7 +74,7 @@
     drop: int
 
 
-class _Set:
+class _SetSearch:
     """Search in one set of layers.
 
     Attributes:
@@ -107,14 +107,16 @@
         made: Ints = (self.best & ~self._start).sum(axis=1)
         return made
 
-    def improve(self, made: Ints, most: int) -> bool:
+    def improve(self, copies_made: Ints, max_copies: int) -> bool:
         """Make the move that helps most; False if none helps.
 
         Args:
-            made: Copies of each rank so far, in all sets; it is kept up.
-            most: Copies that a rank may make.
+            copies_made: Copies of each rank so far, in all sets; it is kept up.
+            max_copies: Copies that a rank may make.
         """
-        move = self._best_move((made < most) & (self._added < self._spare))
+        move = self._best_move(
+            (copies_made < max_copies) & (self._added < self._spare)
+        )
         if move is None:
             return False
         for expert, holds in ((move.add, True), (move.drop, False)):
@@ -123,7 +125,7 @@
             self._held[move.rank, expert] = holds
             if not self._start[move.rank, expert]:
                 self._added[move.rank] += 1 if holds else -1
-                made[move.rank] += 1 if holds else -1
+                copies_made[move.rank] += 1 if holds else -1
         reached = peak(self._held, self._shares, self._pace)
         if reached < self.best_peak - 1e-9:
             self.best, self.best_peak = self._held.copy(), reached
@@ -146,19 +148,19 @@
         order = np.argsort(times)
         order = order[: min(len(order) // 2 + 1, const.CANDIDATE_RANKS)]
         best: _Move | None = None
-        best_value = _measure(times) * (1 - 1e-6)
+        best_value = _power_sum(times) * (1 - 1e-6)
         for drop in np.flatnonzero(self._held[slowest] & (copies > 1)):
             after = loads + self._held[:, drop] * (
                 self._shares[drop] / (copies[drop] - 1) - parts[drop]
             )
             after[slowest] = loads[slowest] - parts[drop]
-            value = _measure(after * self._pace)
+            value = _power_sum(after * self._pace)
             if value < best_value:
                 best_value, best = value, _Move(slowest, -1, int(drop))
         swaps = [
             (int(rank), drop)
             for rank in order
-            for drop in self._drops(int(rank), copies, parts)
+            for drop in self._drop_candidates(int(rank), copies, parts)
         ]
         adds = np.flatnonzero(self._held[slowest])
         adds = adds[np.argsort(-parts[adds])][: const.CANDIDATE_EXPERTS]
@@ -199,12 +201,14 @@
         lost = np.where(dropping, parts[drops], 0.0)
         after = base + self._held[:, drops].T * shared[:, None]
         after[np.arange(len(fit)), ranks] = base[ranks] + part - lost
-        values = ((after * self._pace) ** _POWER).sum(axis=1)
+        values = ((after * self._pace) ** _TIME_EXPONENT).sum(axis=1)
         least = int(values.argmin())
         rank, drop = fit[least]
         return float(values[least]), _Move(rank, add, drop)
 
-    def _drops(self, rank: int, copies: Ints, parts: Floats) -> list[int]:
+    def _drop_candidates(
+        self, rank: int, copies: Ints, parts: Floats
+    ) -> list[int]:
         """Return what a rank may drop for a further expert."""
         row = self._held[rank]
         if row.sum() < self._places:
@@ -241,7 +245,7 @@
             spare: Experts that a rank may add in a set in one change.
         """
         self._sets = [
-            _Set(
+            _SetSearch(
                 start=held,
                 shares=row,
                 pace=pace,
@@ -252,12 +256,12 @@
         ]
         self.before = self._peak()
         self.stages: list[Stage] = []
-        self._made = np.zeros(len(pace), dtype=np.int64)
-        self._most = 1
-        self._most_ever = spare * len(self._sets)
-        self._stuck: set[int] = set()
+        self._copies_made = np.zeros(len(pace), dtype=np.int64)
+        self._max_copies = 1
+        self._copies_limit = spare * len(self._sets)
+        self._exhausted_sets: set[int] = set()
 
-    def go_on(self, moves: int) -> bool:
+    def advance(self, moves: int) -> bool:
         """Make up to so many moves; return whether the search has ended."""
         for _ in range(moves):
             number = self._next_set()
@@ -265,8 +269,10 @@
                 if self._end_stage():
                     return True
                 continue
-            if not self._sets[number].improve(self._made, self._most):
-                self._stuck.add(number)
+            if not self._sets[number].improve(
+                self._copies_made, self._max_copies
+            ):
+                self._exhausted_sets.add(number)
         return False
 
     def _next_set(self) -> int | None:
@@ -274,7 +280,8 @@
         left = [
             (found.best_peak, number)
             for number, found in enumerate(self._sets)
-            if number not in self._stuck and found.best_peak > const.GOOD_PEAK
+            if number not in self._exhausted_sets
+            and found.best_peak > const.SUFFICIENT_PEAK
         ]
         return max(left)[1] if left else None
 
@@ -288,10 +295,10 @@
         )
         if not self.stages or stage.peak < self.stages[-1].peak:
             self.stages.append(stage)
-        if not self._stuck or self._most >= self._most_ever:
+        if not self._exhausted_sets or self._max_copies >= self._copies_limit:
             return True
-        self._stuck.clear()
-        self._most += max(1, self._most // 2)
+        self._exhausted_sets.clear()
+        self._max_copies += max(1, self._max_copies // 2)
         return False
 
     def _peak(self) -> float:
@@ -304,5 +311,5 @@
     return loads
 
 
-def _measure(times: Floats) -> float:
-    return float((times**_POWER).sum())
+def _power_sum(times: Floats) -> float:
+    return float((times**_TIME_EXPONENT).sum())
--- a/jasperweir/components/mapswitch/planner.py
+++ b/jasperweir/components/mapswitch/planner.py
@@ -9,10 +9,10 @@
 from jasperweir.components.deployment import model
 from jasperweir.components.mapswitch import const
 from jasperweir.components.mapswitch import messages
-from jasperweir.components.mapswitch import plan as plan_lib
+from jasperweir.components.mapswitch import placement_search
 
 
-class Question(NamedTuple):
+class PlanRequest(NamedTuple):
     """What a plan is made for.
 
     Attributes:
@@ -28,13 +28,13 @@
     epoch: int
     map_version: int
     current: messages.Placement
-    shares: plan_lib.Floats
-    paces: plan_lib.Floats
-    lasts_s: float = const.CALM_SECONDS
-    switch_s: float = const.SWITCH_SECONDS
+    shares: placement_search.Floats
+    paces: placement_search.Floats
+    lasts_s: float = const.MAX_DEMAND_DURATION_SECONDS
+    switch_s: float = const.INITIAL_SWITCH_SECONDS
 
 
-class Better(NamedTuple):
+class PlanFound(NamedTuple):
     """Outcome: a placement that is worth its copies.
 
     Attributes:
@@ -45,22 +45,22 @@
         copies: Copies of the rank that makes the most.
     """
 
-    question: Question
+    request: PlanRequest
     placement: messages.Placement
     before: float
     after: float
     copies: int
 
 
-class GoodEnough(NamedTuple):
+class NoBetterPlan(NamedTuple):
     """Outcome: the placement in use stays."""
 
 
-class Unfinished(NamedTuple):
+class PlanUnfinished(NamedTuple):
     """Outcome: the search has not ended yet."""
 
 
-Outcome = Better | GoodEnough | Unfinished
+Outcome = PlanFound | NoBetterPlan | PlanUnfinished
 
 
 class Planner:
@@ -68,67 +68,70 @@
 
     def __init__(self, *, engine: model.Engine) -> None:
         self._engine = engine
-        self._question: Question | None = None
-        self._search: plan_lib.Search | None = None
+        self._request: PlanRequest | None = None
+        self._search: placement_search.Search | None = None
 
     @property
     def active(self) -> bool:
         """Whether a question is being worked on."""
-        return self._question is not None
+        return self._request is not None
 
-    def begin(self, question: Question) -> None:
+    def start(self, request: PlanRequest) -> None:
         """Take up a question; an older one is dropped."""
         experts = self._engine.experts
-        self._question = question
-        self._search = plan_lib.Search(
+        self._request = request
+        self._search = placement_search.Search(
             start=tuple(
-                plan_lib.table(ranks, experts) for ranks in question.current
+                placement_search.to_matrix(ranks, experts)
+                for ranks in request.current
             ),
-            shares=question.shares,
-            pace=question.paces,
+            shares=request.shares,
+            pace=request.paces,
             places=self._engine.places,
             spare=self._engine.spare,
         )
 
-    def drop(self) -> None:
+    def cancel(self) -> None:
         """Give up the question."""
-        self._question = None
+        self._request = None
         self._search = None
 
-    def go_on(self) -> Outcome:
+    def advance(self) -> Outcome:
         """Search a little further."""
-        question, search = self._question, self._search
-        if question is None or search is None:
-            return GoodEnough()
-        if not search.go_on(const.PLAN_MOVES):
-            return Unfinished()
-        self.drop()
-        stage = choose(
+        request, search = self._request, self._search
+        if request is None or search is None:
+            return NoBetterPlan()
+        if not search.advance(const.MOVES_PER_PLAN_CALL):
+            return PlanUnfinished()
+        self.cancel()
+        stage = choose_stage(
             search.before,
             search.stages,
             copy_s=self._engine.copy_s,
-            switch_s=question.switch_s,
-            lasts_s=question.lasts_s,
+            switch_s=request.switch_s,
+            lasts_s=request.lasts_s,
         )
         if stage is None:
-            return GoodEnough()
-        return Better(
-            question=question,
-            placement=tuple(plan_lib.rows(held) for held in stage.held),
+            return NoBetterPlan()
+        return PlanFound(
+            request=request,
+            placement=tuple(
+                placement_search.to_expert_lists(held) for held in stage.held
+            ),
             before=search.before,
             after=stage.peak,
             copies=stage.copies,
         )
 
 
-def choose(
+def choose_stage(
     before: float,
-    stages: list[plan_lib.Stage],
+    stages: list[placement_search.Stage],
     *,
     copy_s: float,
     switch_s: float,
     lasts_s: float,
-) -> plan_lib.Stage | None:
+) -> placement_search.Stage | None:
     """Return the change that saves most time until the demand moves on.
 
     A change with few copies helps sooner; the rest can follow with a second
@@ -147,11 +150,11 @@
     if not stages:
         return None
     final = stages[-1]
-    best: plan_lib.Stage | None = None
+    best: placement_search.Stage | None = None
     least = before * lasts_s
     for stage in stages:
         gain = before - stage.peak
-        if gain < const.LEAST_GAIN * before:
+        if gain < const.MIN_GAIN * before:
             continue
         first_s = switch_s + stage.copies * copy_s
         rest = final.copies - stage.copies
--- a/jasperweir/components/mapswitch/relays.py
+++ b/jasperweir/components/mapswitch/relays.py
@@ -19,7 +19,7 @@
 Actions = list[Any]
 
 
-class RelayedAsk(NamedTuple):
+class RelayedOrder(NamedTuple):
     """What differs between the orders to the agents of a data centre."""
 
     agent: str
@@ -43,10 +43,10 @@
     term: int
     epoch: int
     order: bytes
-    asks: tuple[RelayedAsk, ...]
+    asks: tuple[RelayedOrder, ...]
 
 
-class Relays:
+class OrderRelays:
     """The control VMs that pass orders on, and who is near them."""
 
     def __init__(self, *, name: str = "") -> None:
@@ -67,14 +67,14 @@
         """Note where an agent is."""
         self._places[name] = place
 
-    def bundle(self, sends: list[core.Send]) -> Actions:
+    def combine(self, sends: list[core.Send]) -> Actions:
         """Return the same orders, bundled where that saves bytes.
 
         Args:
             sends: Orders that differ in nothing but whom they are for.
         """
         order = sends[0].msg.order if sends else b""
-        if len(order) < const.RELAY_LEAST_BYTES:
+        if len(order) < const.MIN_RELAY_BYTES:
             return list(sends)
         out: Actions = []
         by_relay: dict[str, list[core.Send]] = {}
@@ -86,7 +86,7 @@
                 by_relay.setdefault(relay, []).append(send)
         packed = zlib.compress(order, const.RELAY_COMPRESS_LEVEL)
         for relay, group in by_relay.items():
-            if len(group) < const.RELAY_LEAST_AGENTS:
+            if len(group) < const.MIN_RELAY_AGENTS:
                 out += group
                 continue
             out.append(core.Send(dst=relay, msg=self._relay(group, packed)))
@@ -100,7 +100,7 @@
             epoch=first.epoch,
             order=packed,
             asks=tuple(
-                RelayedAsk(send.dst, send.msg.number, send.msg.engine)
+                RelayedOrder(send.dst, send.msg.number, send.msg.engine)
                 for send in group
             ),
         )
@@ -120,7 +120,7 @@
     return [
         core.Send(
             dst=ask.agent,
-            msg=messages.OrderAsk(
+            msg=messages.OrderRequest(
                 number=ask.number,
                 term=relay.term,
                 epoch=relay.epoch,
--- a/jasperweir/components/mapswitch/pacer.py
+++ b/jasperweir/components/mapswitch/report_schedule.py
@@ -13,7 +13,7 @@
 _EARLY_SECONDS = 0.005
 
 
-class Pacer:
+class ReportSchedule:
     """Beats of one agent.
 
     Attributes:
@@ -27,28 +27,30 @@
         self.counted = False
         self.near = False
         self._read_at = float("-inf")
-        self._told_at = float("-inf")
-        self._told: messages.EngineState | None = None
+        self._reported_at = float("-inf")
+        self._last_reported: messages.EngineState | None = None
         self._leader = ""
 
-    def on_ask(self, leader: str, ask: messages.PaceAsk) -> None:
+    def on_rate_request(
+        self, leader: str, ask: messages.ReportRateRequest
+    ) -> None:
         """Take in what the leader wants."""
         if leader != self._leader:
             self._leader = leader
-            self._told = None
+            self._last_reported = None
         self.busy = ask.busy
         self.counted = ask.counted
         self.near = ask.near
 
-    def read_due(self, now: float) -> bool:
+    def is_read_due(self, now: float) -> bool:
         """Tell whether the engine is to be read now."""
-        if now < self.next_read - _EARLY_SECONDS:
+        if now < self.next_read_at - _EARLY_SECONDS:
             return False
         self._read_at = now
         return True
 
     @property
-    def next_read(self) -> float:
+    def next_read_at(self) -> float:
         """When the engine is to be read next, monotonic seconds."""
         pause = const.READ_SECONDS
         if self.counted and self.near:
@@ -57,22 +59,22 @@
             pause = const.BUSY_READ_SECONDS
         return self._read_at + pause
 
-    def tell_due(self, state: messages.EngineState, now: float) -> bool:
+    def is_report_due(self, state: messages.EngineState, now: float) -> bool:
         """Tell whether the leader is to be told of a state now."""
-        old = self._told
-        silent = now - self._told_at
+        old = self._last_reported
+        silent = now - self._reported_at
         due = (
             old is None
-            or not members.same_step(state, old)
-            or abs(state.pace - old.pace) >= const.PACE_STEP
-            or silent >= self._pause(state) - _EARLY_SECONDS
+            or not members.is_same_step(state, old)
+            or abs(state.pace - old.pace) >= const.MIN_PACE_CHANGE
+            or silent >= self._max_report_interval(state) - _EARLY_SECONDS
         )
         if due:
-            self._told = state
-            self._told_at = now
+            self._last_reported = state
+            self._reported_at = now
         return due
 
-    def _pause(self, state: messages.EngineState) -> float:
+    def _max_report_interval(self, state: messages.EngineState) -> float:
         """Return how long the leader may go without a beat."""
         if self.counted and self.near:
             return const.NEAR_READ_SECONDS
--- a/jasperweir/components/mapswitch/slow_news.py
+++ b/jasperweir/components/mapswitch/slow_news.py
@@ -18,7 +18,7 @@
         again, since entries believe it for a while only.
         """
         if slow == self._told:
-            rests = now - self._told_at < const.TELL_SLOW_SECONDS
+            rests = now - self._told_at < const.SLOW_TARGETS_RESEND_SECONDS
             if rests or not slow.targets:
                 return False
         self._told = slow
--- a/jasperweir/components/mapswitch/times.py
+++ b/jasperweir/components/mapswitch/switch_times.py
@@ -8,7 +8,7 @@
 _SMOOTHING = 0.3
 
 
-class Took(NamedTuple):
+class SwitchDurations(NamedTuple):
     """Parts of one switch, seconds.
 
     Attributes:
@@ -30,30 +30,30 @@
     """
 
     def __init__(self) -> None:
-        self.switch_s = const.SWITCH_SECONDS
-        self._orders_s = const.ORDERS_SECONDS
-        self._begun_at = 0.0
+        self.switch_s = const.INITIAL_SWITCH_SECONDS
+        self._orders_s = const.INITIAL_ORDERING_SECONDS
+        self._started_at = 0.0
         self._copied_at = 0.0
         self._armed_at = 0.0
 
     @property
     def hold_ahead_s(self) -> float:
         """How far ahead a pass is held so that nothing waits, seconds."""
-        least, most = const.HOLD_AHEAD_SECONDS
+        least, most = const.HOLD_AHEAD_RANGE_SECONDS
         ahead_s = self._orders_s * const.HOLD_AHEAD_FACTOR
         return min(max(ahead_s, least), most)
 
-    def begin(self, now: float) -> None:
+    def start(self, now: float) -> None:
         """Note that ranks are ordered to prepare."""
-        self._begun_at = now
+        self._started_at = now
         self._copied_at = 0.0
         self._armed_at = 0.0
 
-    def copied(self, now: float) -> None:
+    def on_copied(self, now: float) -> None:
         """Note that all ranks have copied."""
         self._copied_at = now
 
-    def armed(self, now: float) -> None:
+    def on_armed(self, now: float) -> None:
         """Note that all ranks are armed."""
         self._armed_at = now
         # Slow orders count at once, since a pass that waits holds up everyone.
@@ -61,22 +61,22 @@
         less_s = self._orders_s + _SMOOTHING * (took_s - self._orders_s)
         self._orders_s = max(took_s, less_s)
 
-    def came_late(self) -> None:
+    def on_late_hold(self) -> None:
         """Note that a hold came after its pass: orders take longer now."""
         self._orders_s = min(
             2 * self._orders_s, const.HOLD_AHEAD_CAREFUL_SECONDS
         )
 
-    def settled(self, now: float) -> Took | None:
+    def finish(self, now: float) -> SwitchDurations | None:
         """Note that a switch has ended; None if it was called off."""
-        if not self._begun_at or not self._copied_at or not self._armed_at:
+        if not self._started_at or not self._copied_at or not self._armed_at:
             return None
-        took = Took(
-            copying_s=self._copied_at - self._begun_at,
+        took = SwitchDurations(
+            copying_s=self._copied_at - self._started_at,
             ordering_s=self._armed_at - self._copied_at,
             settling_s=now - self._armed_at,
         )
         switch_s = took.ordering_s + took.settling_s
         self.switch_s += _SMOOTHING * (switch_s - self.switch_s)
-        self._begun_at = 0.0
+        self._started_at = 0.0
         return took
--- a/jasperweir/daemons/engine_client.py
+++ b/jasperweir/daemons/engine_client.py
@@ -9,7 +9,7 @@
 from jasperweir import core
 from jasperweir.components.mapswitch import const
 from jasperweir.components.mapswitch import messages
-from jasperweir.components.mapswitch import runner as runner_lib
+from jasperweir.components.mapswitch import order_executor
 from jasperweir.helpers import http_client
 from jasperweir.helpers import http_fetch
 from jasperweir.helpers import logs
@@ -48,7 +48,7 @@
             ValueError: It cannot be read.
         """
 
-    def order(self, post: runner_lib.Post) -> bytes:
+    def order(self, post: order_executor.PostOrder) -> bytes:
         """Return the body of an order."""
 
 
@@ -72,22 +72,22 @@
 
     async def carry_out(
         self,
-        runner: runner_lib.Runner,
-        act: runner_lib.Read | runner_lib.Post,
-    ) -> runner_lib.Actions:
+        runner: order_executor.OrderExecutor,
+        act: order_executor.ReadState | order_executor.PostOrder,
+    ) -> order_executor.Actions:
         """Carry out a runner's action; return what it wants next."""
         match act:
-            case runner_lib.Read():
+            case order_executor.ReadState():
                 state = await self.state()
                 if state is None:
                     # An engine that is down or starting is asked again soon.
                     await asyncio.sleep(const.BUSY_READ_SECONDS)
                 return runner.on_read(state)
-            case runner_lib.Post():
+            case order_executor.PostOrder():
                 status = await self.post(act)
                 return runner.on_answer(act.order, status)
 
-    async def post(self, act: runner_lib.Post) -> int | None:
+    async def post(self, act: order_executor.PostOrder) -> int | None:
         """Give an order; return the answer's status, None without one."""
         status: int | None = None
         reason = ""
@@ -151,25 +151,29 @@
         dialect: EngineDialect,
         send: Callable[[core.Send], None],
     ) -> None:
-        self._runner = runner_lib.Runner(reads_are_fresh=False)
+        self._runner = order_executor.OrderExecutor(reads_are_fresh=False)
         self._send = send
         self._client = EngineClient(
-            address=address, dialect=dialect, timeout_s=const.ORDER_SECONDS
+            address=address,
+            dialect=dialect,
+            timeout_s=const.ORDER_TIMEOUT_SECONDS,
         )
 
-    def give(self, src: str, ask: messages.OrderAsk) -> None:
+    def give(self, src: str, ask: messages.OrderRequest) -> None:
         """Give an order; its result is sent to who asked for it."""
-        self._run(self._runner.on_ask(src, ask))
+        self._run(self._runner.on_order(src, ask))
 
-    def _run(self, acts: runner_lib.Actions) -> None:
+    def _run(self, acts: order_executor.Actions) -> None:
         for act in acts:
             match act:
                 case core.Send():
                     self._send(act)
-                case runner_lib.Read() | runner_lib.Post():
+                case order_executor.ReadState() | order_executor.PostOrder():
                     self._client.spawn(self._carry_out(act))
 
-    async def _carry_out(self, act: runner_lib.Read | runner_lib.Post) -> None:
+    async def _carry_out(
+        self, act: order_executor.ReadState | order_executor.PostOrder
+    ) -> None:
         self._run(await self._client.carry_out(self._runner, act))
 
 
@@ -183,7 +187,7 @@
         self._send = send
         self._engines: dict[str, RemoteEngine] = {}
 
-    def give(self, src: str, ask: messages.OrderAsk) -> None:
+    def give(self, src: str, ask: messages.OrderRequest) -> None:
         """Give an order; its result is sent to who asked for it."""
         engine = self._engines.get(ask.engine)
         if engine is None:
--- a/jasperweir/daemons/site_agent.py
+++ b/jasperweir/daemons/site_agent.py
@@ -10,8 +10,8 @@
 from jasperweir.components.mapswitch import const
 from jasperweir.components.mapswitch import counter as counter_lib
 from jasperweir.components.mapswitch import messages
-from jasperweir.components.mapswitch import pacer as pacer_lib
-from jasperweir.components.mapswitch import runner as runner_lib
+from jasperweir.components.mapswitch import order_executor
+from jasperweir.components.mapswitch import report_schedule
 from jasperweir.daemons import deployed
 from jasperweir.daemons import engine_client
 from jasperweir.daemons import loop_host
@@ -52,10 +52,12 @@
             wants_content=False,
         )
         self._engine = engine_client.EngineClient(
-            address=cfg.engine, dialect=dialect, timeout_s=const.ORDER_SECONDS
+            address=cfg.engine,
+            dialect=dialect,
+            timeout_s=const.ORDER_TIMEOUT_SECONDS,
         )
-        self._runner = runner_lib.Runner()
-        self._pacer = pacer_lib.Pacer()
+        self._runner = order_executor.OrderExecutor()
+        self._pacer = report_schedule.ReportSchedule()
         self._counter = counter_lib.Counter()
         self._reading = False
         self._leader = ""
@@ -81,17 +83,17 @@
 
     def _on_frame(self, src: str, msg: Any) -> None:
         match msg:
-            case messages.OrderAsk():
+            case messages.OrderRequest():
                 leader = msg.leader or src
                 if msg.term >= self._runner.term:
                     self._leader = leader
-                    self._read_alarm.set(self._pacer.next_read)
-                self._perform(self._runner.on_ask(leader, msg))
-            case messages.PaceAsk():
+                    self._read_alarm.set(self._pacer.next_read_at)
+                self._perform(self._runner.on_order(leader, msg))
+            case messages.ReportRateRequest():
                 if msg.term >= self._runner.term:
                     self._leader = src
-                    self._pacer.on_ask(src, msg)
-                    self._read_alarm.set(self._pacer.next_read)
+                    self._pacer.on_rate_request(src, msg)
+                    self._read_alarm.set(self._pacer.next_read_at)
                 self._runner.on_term(msg.term)
             case _:
                 now = self._host.now()
@@ -101,22 +103,24 @@
     def _read(self) -> None:
         if self._reading:
             return
-        if self._pacer.read_due(self._host.now()):
+        if self._pacer.is_read_due(self._host.now()):
             self._reading = True
             self._engine.spawn(self._beat())
-        self._read_alarm.set(self._pacer.next_read)
+        self._read_alarm.set(self._pacer.next_read_at)
 
     # Actions.
 
-    def _perform(self, acts: runner_lib.Actions) -> None:
+    def _perform(self, acts: order_executor.Actions) -> None:
         for act in acts:
             match act:
                 case core.Send():
                     self._host.send(act)
-                case runner_lib.Read() | runner_lib.Post():
+                case order_executor.ReadState() | order_executor.PostOrder():
                     self._engine.spawn(self._carry_out(act))
 
-    async def _carry_out(self, act: runner_lib.Read | runner_lib.Post) -> None:
+    async def _carry_out(
+        self, act: order_executor.ReadState | order_executor.PostOrder
+    ) -> None:
         self._perform(await self._engine.carry_out(self._runner, act))
 
     async def _beat(self) -> None:
@@ -124,14 +128,14 @@
             await self._send_beat()
         finally:
             self._reading = False
-            self._read_alarm.set(self._pacer.next_read)
+            self._read_alarm.set(self._pacer.next_read_at)
 
     async def _send_beat(self) -> None:
         term = self._runner.term
         state = await self._engine.state()
         if state is None or not state.group:
             return
-        if not self._pacer.tell_due(state, self._host.now()):
+        if not self._pacer.is_report_due(state, self._host.now()):
             return
         if self._experts_of != (state.epoch, state.map_version):
             raw = await self._engine.get(self._dialect.PLACEMENT_TARGET)
--- a/jasperweir/daemons/site_control.py
+++ b/jasperweir/daemons/site_control.py
@@ -204,10 +204,10 @@
                 directory_const.KIND_AGENT, now
             ):
                 self._coordinator.on_agent(agent.name, agent.place, now)
-            self._coordinator.on_entries(self._hold_givers(node, now))
+            self._coordinator.set_entries(self._hold_givers(node, now))
             fresh_s = mapswitch_const.RELAY_FRESH_SECONDS
             relays = node.roster.near_keepers(now, fresh_s)
-            self._coordinator.on_relays(relays)
+            self._coordinator.set_relays(relays)
         self._perform(self._coordinator.tick(now))
         self._plan_soon()
 
@@ -257,7 +257,7 @@
         match msg:
             case mapswitch_messages.EngineBeat():
                 acts = self._coordinator.receive(src, msg, self._engines, now)
-            case mapswitch_messages.OrderDone():
+            case mapswitch_messages.OrderResult():
                 acts = self._coordinator.receive(src, msg, self._engines, now)
             case relays_lib.OrderRelay():
                 acts = list(relays_lib.expand(msg))
@@ -306,7 +306,7 @@
                 )
             case node_lib.NewVersion():
                 self._on_version(act.version)
-            case mapswitch_actions.Direct():
+            case mapswitch_actions.SendDirectly():
                 self._host.metrics.inc("orders_given_directly")
                 self._direct.give(act.agent, act.ask)
             case mapswitch_actions.PhaseChanged():
@@ -314,12 +314,12 @@
             case mapswitch_actions.DemandJumped():
                 self._host.metrics.inc("demand_jumps", group=act.group)
                 _log.info("demand jumped", **act._asdict())
-            case mapswitch_actions.Planned():
+            case mapswitch_actions.PlanAccepted():
                 self._host.metrics.observe(
                     "plan_after_jump_seconds", act.since_jump_s
                 )
                 _log.info("expert map planned", **act._asdict())
-            case mapswitch_actions.Switched():
+            case mapswitch_actions.SwitchCompleted():
                 self._note_switch(act)
             case (
                 node_lib.Replaced()
@@ -329,7 +329,7 @@
             ):
                 self._calls.answer(act)
 
-    def _note_switch(self, act: mapswitch_actions.Switched) -> None:
+    def _note_switch(self, act: mapswitch_actions.SwitchCompleted) -> None:
         """Record how long the parts of a switch took."""
         metrics = self._host.metrics
         metrics.observe("map_copying_seconds", act.copying_s)
@@ -347,7 +347,7 @@
     def _tell_slow(self) -> None:
         """Tell the entries which targets are slow, while any is."""
         node = self._node
-        if node is None or not self._coordinator.leads:
+        if node is None or not self._coordinator.is_leader:
             return
         slow = self._coordinator.slow_targets()
         now = self._host.now()
--- a/jasperweir/daemons/site_entry.py
+++ b/jasperweir/daemons/site_entry.py
@@ -191,7 +191,7 @@
             case balance_messages.Share():
                 self._forwarder.on_share(src, msg)
                 return
-            case mapswitch_messages.OrderAsk():
+            case mapswitch_messages.OrderRequest():
                 self._engines.give(src, msg)
                 return
             case quarantine_messages.Marks() | quarantine_messages.Compare():
