--- a/features/harness/engines.py
+++ b/features/harness/engines.py
@@ -1,4 +1,4 @@
-"""A group of engines in lock-step, with orders that get lost or come late."""
+"""Simulated group of engines with lost and delayed orders."""
 
 import random
 
@@ -38,7 +38,7 @@
 
 
 class Rank:
-    """One engine; its answers to orders follow the platform's page."""
+    """One engine; answers orders as the platform's page specifies."""
 
     def __init__(self, number, ranks):
         self.number = number
@@ -58,7 +58,7 @@
 
 
 class Group:
-    """All ranks; ``check`` runs as each pass begins."""
+    """All ranks of a group in lock-step; each pass checks their maps."""
 
     def __init__(self, ranks=4, seed=0):
         self.rng = random.Random(seed)
@@ -69,22 +69,22 @@
         self.pass_at = 0.0
         self.idle = False
         self.lost = 0.0
-        self.late = []
+        self.delayed = []
         self.stalled = 0.0
         self.longest_stall = 0.0
         self.switches = 0
         self.broken = []
-        self.past = []
+        self.history = []
         self.hot = 0
-        self.deaf = set()
+        self.unresponsive = set()
 
     def tick(self, now):
         self.now = now
-        for item in [i for i in self.late if i[0] <= now]:
-            self.late.remove(item)
-            self.carry_out(*item[1:])
-        self.past.append((now, [self.state(r) for r in self.ranks]))
-        self.past = [p for p in self.past if p[0] > now - 2 * REPORT_LAG]
+        for item in [i for i in self.delayed if i[0] <= now]:
+            self.delayed.remove(item)
+            self.apply_order(*item[1:])
+        self.history.append((now, [self.state(r) for r in self.ranks]))
+        self.history = [p for p in self.history if p[0] > now - 2 * REPORT_LAG]
         if not self.idle and now >= self.pass_at:
             self.begin_pass()
 
@@ -112,27 +112,27 @@
         if len(versions) > 1:
             self.broken.append((round(self.now, 2), number, versions))
 
-    def form_anew(self):
-        """A rank crashed and is back: everything begins again."""
+    def re_form(self):
+        """Re-form the group after a crash: all ranks lose their state."""
         self.epoch += 1
         for rank in self.ranks:
-            fresh = Rank(rank.number, len(self.ranks))
-            fresh.highest = rank.highest
-            fresh.counts = rank.counts
-            self.ranks[rank.number] = fresh
-
-    def order(self, number, order, epoch):
-        """Return a status, or None for an order that gets no answer."""
-        if number in self.deaf:
+            restarted = Rank(rank.number, len(self.ranks))
+            restarted.highest = rank.highest
+            restarted.counts = rank.counts
+            self.ranks[rank.number] = restarted
+
+    def post_order(self, number, order, epoch):
+        """Apply an order; return its status, None for no answer."""
+        if number in self.unresponsive:
             return None
         if self.rng.random() < self.lost:
             if self.rng.random() < 0.7:
                 at = self.now + self.rng.uniform(2, 12)
-                self.late.append((at, number, order, epoch))
+                self.delayed.append((at, number, order, epoch))
             return None
-        return self.carry_out(number, order, epoch)
+        return self.apply_order(number, order, epoch)
 
-    def carry_out(self, number, order, epoch):
+    def apply_order(self, number, order, epoch):
         rank = self.ranks[number]
         if epoch != self.epoch:
             return 409
@@ -193,14 +193,14 @@
         )
 
     def stale_state(self, number):
-        for at, states in self.past:
+        for at, states in self.history:
             if at >= self.now - REPORT_LAG:
                 return states[number]
         return self.state(self.ranks[number])
 
 
 class Deployment:
-    """Agents and leaders around a group, on a virtual clock."""
+    """Agents and leaders of a group, on a virtual clock."""
 
     def __init__(self, ranks=4, seed=0):
         self.rng = random.Random(seed)
@@ -211,29 +211,28 @@
         }
         self.counters = {name: counter_lib.Counter() for name in self.agents}
         self.leaders = {}
-        self.direct = {}
+        self.direct_executors = {}
         self.down = {}
         self.frozen = set()
-        # Leaders whose lease has ended while they stood still: the next one is
-        # elected only after it.
+        # Frozen leaders whose lease has expired.
         self.deposed = set()
-        # Control VMs that pass orders on; each is in a data centre of its own.
+        # Control VMs that relay orders, by data centre.
         self.relays = {}
         self.lost_relays = set()
         self.phases = []
         self.queue = []
         self.term = 0
-        self.beat_at = 0.0
+        self.next_heartbeat_at = 0.0
         self.tap = None
         self.cut = set()
-        # Orders that a leader gave to an engine itself.
-        self.given_directly = []
-        # Entries that may give holds.
+        # Orders that a leader sent straight to an engine.
+        self.direct_orders = []
+        # Entries that may send holds.
         self.entries = ("e1", "e2")
         self.counted = set()
 
     def lead(self):
-        """A new leader takes over in a higher term."""
+        """Start a leader in a higher term; return its name."""
         self.term += 1
         self.deposed |= self.frozen & self.leaders.keys()
         name = f"c{self.term}"
@@ -257,7 +256,7 @@
                 if self.now >= until:
                     del self.down[name]
                     self.agents[name] = order_executor.OrderExecutor()
-            self.beats()
+            self.send_heartbeats()
             for name, leader in list(self.leaders.items()):
                 if name in self.frozen:
                     continue
@@ -268,26 +267,26 @@
                 self.perform(name, leader.tick(self.now))
             self.deliver()
 
-    def beats(self):
-        if self.now < self.beat_at:
+    def send_heartbeats(self):
+        if self.now < self.next_heartbeat_at:
             return
-        self.beat_at = self.now + 0.1
-        for i, (name, runner) in enumerate(self.agents.items()):
+        self.next_heartbeat_at = self.now + 0.1
+        for i, (name, executor) in enumerate(self.agents.items()):
             if not self.is_up(name):
                 continue
             rank = self.group.ranks[i]
             beat = messages.EngineBeat(
                 service="s",
                 address=name,
-                term=runner.term,
+                term=executor.term,
                 state=self.group.state(rank),
-                choices=self.choices(name, rank),
+                choices=self.read_choices(name, rank),
                 experts=rank.held_map,
             )
             for leader in self.leaders:
                 self.send(name, leader, beat)
 
-    def choices(self, name, rank):
+    def read_choices(self, name, rank):
         if name not in self.counted:
             return counter_lib.NO_CHOICES
         return self.counters[name].take(tuple(rank.counts), self.now)
@@ -303,7 +302,7 @@
         self.cut.add((a, b))
 
     def kill(self, name):
-        """Kill an agent, which starts again, or a leader for good."""
+        """Kill an agent, which restarts, or a leader or relay for good."""
         if name in self.agents:
             self.down[name] = self.now + 1.0
         elif name in self.relays.values():
@@ -337,27 +336,29 @@
             elif dst in self.entries and isinstance(msg, messages.OrderRequest):
                 self.on_order(dst, None, src, msg)
             elif dst in self.agents and self.is_up(dst):
-                runner = self.agents[dst]
+                executor = self.agents[dst]
                 match msg:
                     case messages.ReportRateRequest():
-                        runner.on_term(msg.term)
-                        self.note_counted(dst, msg.counted)
+                        executor.on_term(msg.term)
+                        self.set_counted(dst, msg.counted)
                     case messages.OrderRequest():
-                        self.on_order(dst, runner, msg.leader or src, msg)
+                        self.on_order(dst, executor, msg.leader or src, msg)
 
-    def note_counted(self, agent, counted):
+    def set_counted(self, agent, counted):
         if counted:
             self.counted.add(agent)
         else:
             self.counted.discard(agent)
 
-    def on_order(self, name, runner, src, ask):
-        if ask.engine != name:
-            key = (name, ask.engine)
-            runner = self.direct.setdefault(
+    def on_order(self, name, executor, src, request):
+        if request.engine != name:
+            key = (name, request.engine)
+            executor = self.direct_executors.setdefault(
                 key, order_executor.OrderExecutor(reads_are_fresh=False)
             )
-        self.drive(name, runner, runner.on_order(src, ask), ask.engine)
+        self.execute(
+            name, executor, executor.on_order(src, request), request.engine
+        )
 
     def perform(self, name, acts):
         for act in acts:
@@ -367,16 +368,16 @@
                 case actions.PhaseChanged():
                     self.phases.append((round(self.now, 2), name, act))
                 case actions.SendDirectly():
-                    order = codec.unpack_tagged(act.ask.order)
-                    self.given_directly.append(order)
-                    key = (name, act.ask.engine)
-                    runner = self.direct.setdefault(
+                    order = codec.unpack_tagged(act.request.order)
+                    self.direct_orders.append(order)
+                    key = (name, act.request.engine)
+                    executor = self.direct_executors.setdefault(
                         key, order_executor.OrderExecutor(reads_are_fresh=False)
                     )
-                    acts_now = runner.on_order(act.agent, act.ask)
-                    self.drive(name, runner, acts_now, act.ask.engine)
+                    acts_now = executor.on_order(act.agent, act.request)
+                    self.execute(name, executor, acts_now, act.request.engine)
 
-    def drive(self, host, runner, acts, agent):
+    def execute(self, host, executor, acts, agent):
         number = int(agent[1:])
         while acts:
             act = acts.pop(0)
@@ -387,7 +388,7 @@
                     self.send(host, act.dst, act.msg)
                 case order_executor.ReadState():
                     rank = self.group.ranks[number]
-                    acts += runner.on_read(self.group.state(rank))
+                    acts += executor.on_read(self.group.state(rank))
                 case order_executor.PostOrder():
-                    status = self.group.order(number, act.order, act.epoch)
-                    acts += runner.on_answer(act.order, status)
+                    status = self.group.post_order(number, act.order, act.epoch)
+                    acts += executor.on_answer(act.order, status)
--- a/features/steps/demand_steps.py
+++ b/features/steps/demand_steps.py
@@ -1,4 +1,4 @@
-"""Steps on demand for experts, its jumps, and what a change is worth."""
+"""Steps on expert demand, its jumps, and the choice of a stage."""
 
 from behave import given
 from behave import then
@@ -17,14 +17,14 @@
 CHOICES = 10_000
 
 
-@when("requests choose another expert from now on")
-def step_group_jumps(context):
+@when("requests of the group start to select another expert")
+def step_group_demand_jumps(context):
     context.jumped_at = context.dep.now
     context.dep.group.hot = 5
 
 
 @then("within {seconds:g} seconds the hot expert is on more than one rank")
-def step_fits(context, seconds):
+def step_hot_expert_replicated(context, seconds):
     context.dep.run(seconds)
     group = context.dep.group
     holders = [r for r in group.ranks if group.hot in r.held_map[0]]
@@ -32,7 +32,7 @@
 
 
 def popular(seed):
-    """Return shares of few hot and many cold experts, in some order."""
+    """Return Zipf-like shares of the experts in a random order."""
     rng = np.random.default_rng(seed)
     weights = 1.0 / np.arange(1, EXPERTS + 1) ** 1.2
     rows = [rng.permutation(weights) for _ in range(SETS)]
@@ -40,7 +40,9 @@
     return shares / shares.sum(axis=1, keepdims=True)
 
 
-@given("the demand of {ranks:d} ranks with 96 experts, told 10 times a second")
+@given(
+    "the demand of {ranks:d} ranks with 96 experts, reported 10 times a second"
+)
 def step_demand(context, ranks):
     context.ranks = ranks
     context.demand = demand_lib.Demand(sets=SETS, experts=EXPERTS)
@@ -50,8 +52,8 @@
     context.jumps = []
 
 
-def tell(context, seconds, topic_share=0.0):
-    """Let all ranks tell what they chose, each at its own moment."""
+def report(context, seconds, topic_share=0.0):
+    """Let all ranks report selections, at staggered times."""
     end = context.now + seconds
     while context.now < end:
         for rank in range(context.ranks):
@@ -71,35 +73,36 @@
         context.now += READ_SECONDS
 
 
-@when("requests choose alike for {seconds:g} seconds")
-def step_alike(context, seconds):
-    tell(context, seconds)
+@when("requests select the same experts for {seconds:g} seconds")
+def step_same_experts(context, seconds):
+    report(context, seconds)
     assert not context.jumps
 
 
 @when(
-    "requests choose alike for {seconds:g} seconds, each read of one topic of 9"
+    "requests select the same experts for {seconds:g} seconds, each read from "
+    "one of 9 topics"
 )
 def step_topics(context, seconds):
-    tell(context, seconds, topic_share=0.3)
+    report(context, seconds, topic_share=0.3)
 
 
-@when("they choose other experts from then on")
+@when("requests start to select other experts")
 def step_jump(context):
     context.jumped_at = context.now
     context.shares = popular(2)
-    tell(context, 0.5)
+    report(context, 0.5)
 
 
-@when("they choose other experts from then on, each read of one topic of 9")
+@when("requests start to select other experts, each read from one of 9 topics")
 def step_jump_topics(context):
     context.jumped_at = context.now
     context.shares = popular(2)
-    tell(context, 0.9, topic_share=0.3)
+    report(context, 0.9, topic_share=0.3)
 
 
-@when("a rank tells at once what it chose in the 3 seconds before")
-def step_tells_late(context):
+@when("a rank reports its selections of the last 3 seconds")
+def step_reports_late(context):
     counts = (popular(1) * 30 * CHOICES).astype(int).ravel()
     choices = counter_lib.Choices(
         seconds=3.0, counts=tuple(int(c) for c in counts)
@@ -107,25 +110,25 @@
     context.demand.observe(choices, context.now)
 
 
-@when("they go on so for {seconds:g} seconds")
+@when("requests continue for {seconds:g} seconds")
 def step_go_on(context, seconds):
-    tell(context, seconds)
+    report(context, seconds)
 
 
-@when("requests choose other experts every {gap:g} seconds for {seconds:g}")
+@when("requests select other experts every {gap:g} seconds for {seconds:g}")
 @when(
-    "requests choose other experts every {gap:g} seconds for {seconds:g} "
+    "requests select other experts every {gap:g} seconds for {seconds:g} "
     "seconds"
 )
 def step_jumps(context, gap, seconds):
     for number in range(int(seconds / gap)):
         context.shares = popular(10 + number)
-        tell(context, gap)
+        report(context, gap)
 
 
-@then("the jump is seen within {seconds:g} seconds")
-def step_seen(context, seconds):
-    assert context.jumps, "no jump was seen"
+@then("the jump is detected within {seconds:g} seconds")
+def step_jump_detected(context, seconds):
+    assert context.jumps, "no jump was detected"
     late = context.jumps[0][0] - context.jumped_at
     assert 0 <= late <= seconds, late
 
@@ -138,13 +141,13 @@
     assert apart < 0.1 * before, (apart, before)
 
 
-@then("no jump is seen")
-def step_none_seen(context):
+@then("no jump is detected")
+def step_no_jump(context):
     assert not context.jumps, context.jumps
 
 
-@then("one jump is seen")
-def step_once(context):
+@then("one jump is detected")
+def step_one_jump(context):
     assert len(context.jumps) == 1, context.jumps
 
 
@@ -166,9 +169,9 @@
     context.choices = context.counter.take(numbers(counts), 11.0)
 
 
-@then("it tells {told} and has dropped {dropped:d}")
-def step_tells(context, told, dropped):
-    expected = () if told == "none" else tuple(map(int, told.split()))
+@then("it reports {reported} with {dropped:d} dropped")
+def step_reports(context, reported, dropped):
+    expected = () if reported == "none" else tuple(map(int, reported.split()))
     assert context.choices.counts == expected, context.choices
     assert context.counter.dropped == dropped
 
@@ -177,7 +180,7 @@
     return tuple(int(part) for part in text.split(","))
 
 
-@when("a rank tells counts of 7 experts")
+@when("a rank reports counts of 7 experts")
 def step_misfit(context):
     choices = counter_lib.Choices(seconds=0.1, counts=(10_000,) * 7)
     assert context.demand.observe(choices, 1.0) is None
@@ -190,10 +193,10 @@
 
 
 @given(
-    "changes with 1, 2 and 4 copies a rank, to peaks of {one:g}, {two:g} and "
-    "{four:g} from {before:g}"
+    "stages with 1, 2 and 4 copies per rank and peaks of {one:g}, {two:g} and "
+    "{four:g}, from {before:g}"
 )
-def step_changes(context, one, two, four, before):
+def step_stages(context, one, two, four, before):
     context.before = before
     context.stages = [
         placement_search.Stage(copies=copies, peak=peak, held=())
@@ -212,19 +215,19 @@
     )
 
 
-@then("the change with {copies:d} copy is chosen")
-@then("the change with {copies:d} copies is chosen")
+@then("the stage with {copies:d} copy is chosen")
+@then("the stage with {copies:d} copies is chosen")
 def step_chosen(context, copies):
-    assert context.chosen is not None, "no change was chosen"
+    assert context.chosen is not None, "no stage was chosen"
     assert context.chosen.copies == copies, context.chosen
 
 
-@then("no change is chosen")
+@then("no stage is chosen")
 def step_none_chosen(context):
     assert context.chosen is None, context.chosen
 
 
-@given("demand of 3 sets with 96 experts that has jumped, on 12 ranks")
+@given("a group of 12 ranks with 3 sets of 96 experts after a jump in demand")
 def step_jumped(context):
     start = tuple(
         placement_search.to_matrix(
@@ -239,12 +242,12 @@
 
 
 def search(start, shares):
-    return placement_search.Search(
+    return placement_search.PlacementSearch(
         start=start, shares=shares, pace=np.ones(RANKS), places=11, spare=4
     )
 
 
-@when("a placement with one copy a rank is searched")
+@when("a placement with one copy per rank is searched")
 def step_search(context):
     context.search = search(context.start, popular(2))
     while not context.search.stages:
--- a/features/steps/mapswitch_plan_steps.py
+++ b/features/steps/mapswitch_plan_steps.py
@@ -1,4 +1,4 @@
-"""Steps on plans of expert maps, and on what agents tell for them."""
+"""Steps on plans of expert maps and on the heartbeats of agents."""
 
 from behave import given
 from behave import then
@@ -23,10 +23,9 @@
 
 
 @given(
-    "a question for a plan of {ranks:d} ranks, {experts:d} experts and "
-    "{sets:d} sets"
+    "a plan request for {ranks:d} ranks, {experts:d} experts and {sets:d} sets"
 )
-def step_question(context, ranks, experts, sets):
+def step_plan_request(context, ranks, experts, sets):
     engine = engines.ENGINE._replace(
         sets=sets, experts=experts, places=3, spare=2
     )
@@ -44,7 +43,7 @@
     )
 
 
-@when("it is planned")
+@when("the plan is made")
 def step_plan(context):
     context.calls = 1
     context.outcome = context.planner.advance()
@@ -53,24 +52,24 @@
         context.outcome = context.planner.advance()
 
 
-@then("no more than {count:d} sets were planned at a time")
+@then("no more than {count:d} sets were planned in one call")
 def step_at_a_time(context, count):
     sets = len(context.outcome.request.shares)
     assert context.calls >= sets / count, context.calls
 
 
-@then("the most loaded rank has at most {times:g} times the mean")
+@then("the peak load is at most {times:g} times the mean")
 def step_peak(context, times):
-    question = context.outcome.request
+    request = context.outcome.request
     for ranks, shares in zip(
-        context.outcome.placement, question.shares, strict=True
+        context.outcome.placement, request.shares, strict=True
     ):
         held = placement_search.to_matrix(ranks, len(shares))
-        peak = placement_search.peak(held, shares, question.paces)
+        peak = placement_search.peak(held, shares, request.paces)
         assert peak <= times, peak
 
 
-@when("it forms anew while a plan is made")
+@when("it re-forms while a plan is made")
 def step_forms_while_planned(context):
     dep = context.dep
     planner_lib.const.MOVES_PER_PLAN_CALL, usual = (
@@ -79,7 +78,7 @@
     )
     try:
         group = until_planning(dep)
-        dep.group.form_anew()
+        dep.group.re_form()
         dep.run(1.0)
     finally:
         planner_lib.const.MOVES_PER_PLAN_CALL = usual
@@ -97,29 +96,29 @@
 
 
 @given(
-    'a leader in place "{place}" that hears {near:d} agents there and '
-    "{far:d} elsewhere"
+    'a leader in data centre "{place}" with heartbeats of {near:d} agents '
+    "there and {far:d} elsewhere"
 )
-def step_leader_hears(context, place, near, far):
-    hear_agents(context, place, near, far, beats=True)
+def step_leader_with_heartbeats(context, place, near, far):
+    add_agents(context, place, near, far, beats=True)
 
 
 @given(
-    'a leader in place "{place}" that knows of {near:d} agents there and '
+    'a leader in data centre "{place}" that knows {near:d} agents there and '
     "{far:d} elsewhere"
 )
 def step_leader_knows(context, place, near, far):
-    hear_agents(context, place, near, far, beats=False)
+    add_agents(context, place, near, far, beats=False)
 
 
-def hear_agents(context, place, near, far, *, beats):
+def add_agents(context, place, near, far, *, beats):
     leader = coordinator_lib.Coordinator(
         place=place, make_group=group_lib.Group
     )
     leader.set_term(1)
     size = near + far
     for number in range(size):
-        # The near agents have the higher ranks.
+        # Near agents have the higher ranks.
         name = f"a{number}"
         where = place if number >= far else "elsewhere"
         leader.on_agent(name, where, 0.0)
@@ -136,58 +135,60 @@
         if beats:
             leader.receive(name, beat, {"s": engines.ENGINE}, 0.0)
     context.near = {f"a{number}" for number in range(far, size)}
-    context.asked = {act.dst for act in leader.tick(1.0) if act.msg.counted}
+    context.counted = {act.dst for act in leader.tick(1.0) if act.msg.counted}
 
 
-@then('it asks {count:d} agents for counts, all of them in place "p"')
-def step_asks(context, count):
-    assert len(context.asked) == count, context.asked
-    assert context.asked <= context.near, context.asked
+@then(
+    'it requests counts from {count:d} agents, all of them in data centre "p"'
+)
+def step_requests_counts(context, count):
+    assert len(context.counted) == count, context.counted
+    assert context.counted <= context.near, context.counted
 
 
 @given("an agent of a group of {ranks:d} ranks whose counts are {wanted}")
-def step_pacer(context, ranks, wanted):
-    context.pacer = report_schedule.ReportSchedule()
+def step_schedule(context, ranks, wanted):
+    context.schedule = report_schedule.ReportSchedule()
     context.now = 0.0
     state = engines.Group(ranks=1).state(engines.Rank(0, 1))
     context.state = state._replace(size=ranks)
-    context.ask = messages.ReportRateRequest(
+    context.request = messages.ReportRateRequest(
         term=1, busy=False, counted=wanted == "wanted"
     )
-    context.pacer.on_rate_request("c1", context.ask)
+    context.schedule.on_rate_request("c1", context.request)
 
 
 @when("its engine runs passes for {seconds:g} seconds")
-def step_paced(context, seconds):
-    context.told = 0
+def step_runs_passes(context, seconds):
+    context.reports = 0
     end = context.now + seconds
     while context.now < end:
         context.now += 0.05
         passes = context.state.passes + 1
         context.state = context.state._replace(passes=passes)
-        if context.pacer.is_read_due(context.now):
-            due = context.pacer.is_report_due(context.state, context.now)
-            context.told += due
+        if context.schedule.is_read_due(context.now):
+            due = context.schedule.is_report_due(context.state, context.now)
+            context.reports += due
 
 
-@then("it has told the leader {least:d} to {most:d} times")
-def step_told_times(context, least, most):
-    assert least <= context.told <= most, context.told
+@then("it has sent {least:d} to {most:d} heartbeats")
+def step_report_count(context, least, most):
+    assert least <= context.reports <= most, context.reports
 
 
-@then("it tells at once that its engine is armed")
-def step_tells_armed(context):
+@then("it reports at once that its engine is armed")
+def step_reports_armed(context):
     armed = context.state._replace(armed=5, armed_at=100)
-    assert not context.pacer.is_report_due(context.state, context.now)
-    assert context.pacer.is_report_due(armed, context.now)
+    assert not context.schedule.is_report_due(context.state, context.now)
+    assert context.schedule.is_report_due(armed, context.now)
 
 
-@when("another leader asks it")
+@when("another leader sends a rate request")
 def step_other_leader(context):
-    assert not context.pacer.is_report_due(context.state, context.now)
-    context.pacer.on_rate_request("c2", context.ask)
+    assert not context.schedule.is_report_due(context.state, context.now)
+    context.schedule.on_rate_request("c2", context.request)
 
 
-@then("it tells at once")
-def step_tells(context):
-    assert context.pacer.is_report_due(context.state, context.now)
+@then("it reports at once")
+def step_reports_at_once(context):
+    assert context.schedule.is_report_due(context.state, context.now)
--- a/features/steps/mapswitch_relay_steps.py
+++ b/features/steps/mapswitch_relay_steps.py
@@ -1,4 +1,4 @@
-"""Steps on orders that control VMs pass on."""
+"""Steps on orders that control VMs relay."""
 
 from behave import given
 from behave import then
@@ -27,8 +27,8 @@
         context.sends.append((name, number))
 
 
-def bundle(context, size, relays):
-    """Bundle one order for all agents; three control VMs at most are heard."""
+def combine(context, size, relays):
+    """Combine one order for all agents; up to three relays are known."""
     context.relays.update({f"p{n}": f"c{n}" for n in range(1, relays + 1)})
     order = b"x" * size
     context.sends = [
@@ -41,31 +41,28 @@
     context.out = context.relays.combine(context.sends)
 
 
-@when("it has a large order for all of them")
+@when("it sends a large order to all of them")
 def step_large(context):
-    bundle(context, const.MIN_RELAY_BYTES, 3)
+    combine(context, const.MIN_RELAY_BYTES, 3)
 
 
-@when(
-    "it has a {size} order for all of them, and {relays:d} control VMs are "
-    "heard"
-)
+@when("it sends a {size} order to all of them with {relays:d} known relays")
 def step_sized(context, size, relays):
     least = const.MIN_RELAY_BYTES
-    bundle(context, least if size == "large" else least - 1, relays)
+    combine(context, least if size == "large" else least - 1, relays)
 
 
-@then("it sends {sent:d} orders to agents and {passed:d} to control VMs")
-def step_sent(context, sent, passed):
-    relayed = [
+@then("{direct:d} orders go to agents and {relayed:d} to relays")
+def step_sent(context, direct, relayed):
+    sent = [
         act for act in context.out if isinstance(act.msg, relays_lib.OrderRelay)
     ]
-    assert len(relayed) == passed, len(relayed)
-    assert len(context.out) - len(relayed) == sent, len(context.out)
-    context.relayed = relayed
+    assert len(sent) == relayed, len(sent)
+    assert len(context.out) - len(sent) == direct, len(context.out)
+    context.relayed = sent
 
 
-@then("these pass on {count:d} orders that name the leader, as they were given")
+@then("the relays forward {count:d} unchanged orders that name the leader")
 def step_passed(context, count):
     given = {send.dst: send.msg for send in context.sends}
     passed = [
@@ -76,7 +73,7 @@
         assert send.msg == given[send.dst]._replace(leader="c0"), send
 
 
-@given("a group of 4 engines whose orders go by control VMs that are lost")
+@given("a group of 4 engines whose relays are lost")
 def step_lost_relays(context):
     context.least = (const.MIN_RELAY_BYTES, const.MIN_RELAY_AGENTS)
     const.MIN_RELAY_BYTES, const.MIN_RELAY_AGENTS = 0, 1
@@ -91,7 +88,7 @@
     const.MIN_RELAY_BYTES, const.MIN_RELAY_AGENTS = least
 
 
-@when("a control VM gets a relayed order whose content is damaged")
+@when("a control VM receives a damaged relayed order")
 def step_damaged(context):
     damaged = relays_lib.OrderRelay(
         leader="c0",
@@ -107,6 +104,6 @@
         context.error = exc
 
 
-@then("it is counted as an error and nothing is sent")
+@then("a frame error is raised and nothing is sent")
 def step_counted(context):
     assert isinstance(context.error, exceptions.FrameError)
--- a/features/steps/mapswitch_steps.py
+++ b/features/steps/mapswitch_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the switch of expert maps."""
+"""Steps on switching expert maps."""
 
 import random
 
@@ -36,12 +36,12 @@
     assert not context.dep.group.broken, context.dep.group.broken
 
 
-@then("no pass has waited")
+@then("no pass was delayed")
 def step_no_wait(context):
     assert context.dep.group.longest_stall == 0.0
 
 
-@then("no pass has waited longer than {seconds:g} seconds")
+@then("no pass was delayed for more than {seconds:g} seconds")
 def step_wait(context, seconds):
     assert context.dep.group.longest_stall <= seconds, (
         context.dep.group.longest_stall
@@ -62,11 +62,11 @@
     context.dep.down["a0"] = context.dep.now + 4
 
 
-@when("a pass is held and the VM that gave the hold stands still for 4 seconds")
-def step_giver_still(context):
+@when("a pass is held and the VM that sent the hold freezes for 4 seconds")
+def step_sender_frozen(context):
     dep = context.dep
     until_held(dep)
-    # Nothing that it sent after the hold has left.
+    # Messages that it sent after the hold are lost.
     dep.queue = [q for q in dep.queue if q[1] != "e1"]
     dep.frozen.add("e1")
     dep.run(4.0)
@@ -79,43 +79,44 @@
     context.dep.frozen.add(context.leader)
 
 
-@given("two entries that may give holds, the first choice cut off")
-def step_two_givers(context):
+@given("two entries that may send holds, the selected one cut off")
+def step_two_senders(context):
     dep = context.dep
     dep.leaders[context.leader].set_entries(["e2", "e1"])
     dep.cut_pair(context.leader, "e1")
 
 
-@then("the leader itself has given no hold")
+@then("the leader itself has sent no hold")
 def step_no_direct_hold(context):
-    given = context.dep.given_directly
-    assert not any(isinstance(x, messages.Hold) for x in given), given
+    sent = context.dep.direct_orders
+    assert not any(isinstance(x, messages.Hold) for x in sent), sent
 
 
 @when("a hold reaches its engine {seconds:g} seconds late")
 def step_late_hold(context, seconds):
     dep = context.dep
-    held_up = []
+    delayed = []
 
     def tap(dep, src, dst, msg):
-        if not isinstance(msg, messages.OrderRequest) or held_up:
+        if not isinstance(msg, messages.OrderRequest) or delayed:
             return False
         if not isinstance(codec.unpack_tagged(msg.order), messages.Hold):
             return False
-        held_up.append(msg)
+        delayed.append(msg)
         dep.queue.append((dep.now + seconds, src, dst, msg))
         return True
 
     dep.tap = tap
     for _ in range(600):
         dep.run(engines.STEP)
-        if held_up:
+        if delayed:
             return
     raise AssertionError("no hold was sent")
 
 
 @when(
-    "a hold reaches its engine {seconds:g} seconds late, while nothing is to do"
+    "a hold reaches its engine {seconds:g} seconds late, while the group is "
+    "idle"
 )
 def step_late_hold_idle(context, seconds):
     dep = context.dep
@@ -130,7 +131,7 @@
 def step_stray_hold(context, ahead):
     group = context.dep.group
     hold = messages.Hold(at_pass=group.passes + ahead + 1)
-    assert group.carry_out(0, hold, group.epoch) == 200
+    assert group.apply_order(0, hold, group.epoch) == 200
 
 
 @when("another leader takes over")
@@ -138,8 +139,8 @@
     context.dep.lead()
 
 
-@when("the frozen leader wakes")
-def step_wakes(context):
+@when("the frozen leader resumes")
+def step_resumes(context):
     context.dep.frozen.clear()
 
 
@@ -148,12 +149,12 @@
     assert context.dep.group.passes > context.passes + 5
 
 
-@when("a lost order to arm comes just before the pass it was meant for")
+@when("a lost order to arm arrives just before its pass")
 def step_late_arm(context):
     dep = context.dep
     group = dep.group
     until_held(dep)
-    order = group.order
+    order = group.post_order
     lost = []
 
     def lossy(number, what, epoch):
@@ -162,30 +163,30 @@
             return None
         return order(number, what, epoch)
 
-    group.order = lossy
+    group.post_order = lossy
     while group.ranks[0].held:
         dep.run(engines.STEP)
-    # No further plan comes between the call-off and the late order.
+    # No further plan starts between the call-off and the delayed order.
     dep.frozen.add(context.leader)
     while group.passes < lost[0][1].at_pass - 1:
         dep.run(engines.STEP)
-    # The group runs out of work before the pass that was held, and stays so.
+    # The group is idle from before the pass that was held.
     group.idle = True
-    group.order = order
+    group.post_order = order
     dep.run(5.0)
     assert not group.ranks[0].held, "the switch was not called off"
     assert group.passes == lost[0][1].at_pass - 1, "the pass has begun"
-    group.carry_out(*lost[0])
+    group.apply_order(*lost[0])
     group.idle = False
     dep.run(3.0)
 
 
-@when("the group forms anew")
+@when("the group re-forms")
 def step_form(context):
-    context.dep.group.form_anew()
+    context.dep.group.re_form()
 
 
-@when("{count:d} random schedules of lost and late orders run")
+@when("{count:d} random schedules of lost and delayed orders run")
 def step_random(context, count):
     context.broken = []
     context.stuck = []
@@ -213,7 +214,7 @@
 
 
 def schedule(seed):
-    """Lose orders, kill agents, change and freeze leaders, pause work."""
+    """Run one random schedule of lost orders, crashes, freezes and leaders."""
     rng = random.Random(seed)
     dep = engines.Deployment(seed=seed)
     dep.lead()
@@ -244,10 +245,8 @@
     return dep
 
 
-@given(
-    "a group of {ranks:d} ranks in the middle of a switch whose orders are lost"
-)
-def step_middle(context, ranks):
+@given("a group of {ranks:d} ranks that is being armed, with unanswered orders")
+def step_arming(context, ranks):
     context.dep = engines.Deployment(ranks=ranks)
     context.leader = context.dep.lead()
     group = None
@@ -258,7 +257,7 @@
         if group is not None and group.phase is group_lib.Phase.ARMING:
             break
     assert group is not None and group.phase is group_lib.Phase.ARMING
-    # What it would send again is what has not been answered.
+    # It sends unanswered orders again.
     later = context.dep.now + const.DIRECT_ORDER_DELAY_SECONDS
     acts = group.tick(later)
     context.numbers = [
@@ -267,21 +266,21 @@
     assert context.numbers
 
 
-@when("its leader stands still while another one takes over")
-def step_still(context):
+@when("its leader freezes while another one takes over")
+def step_frozen_leader(context):
     context.dep.frozen = {context.leader}
     context.dep.lead()
     context.dep.run(2.0)
 
 
-@when("an answer that waited for it is read before its timers run")
-def step_read_late(context):
+@when("it reads a queued answer before its timers run")
+def step_read_queued(context):
     done = messages.OrderResult(context.numbers[0], 1, True, None)
-    context.given = context.dep.leaders[context.leader].receive(
+    context.sent = context.dep.leaders[context.leader].receive(
         "a0", done, {"s": engines.ENGINE}, context.dep.now
     )
 
 
-@then("it has given no order")
+@then("it has sent no order")
 def step_no_order(context):
-    assert context.given == [], context.given
+    assert context.sent == [], context.sent
--- a/jasperweir/components/mapswitch/actions.py
+++ b/jasperweir/components/mapswitch/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the switch of expert maps asks of its driver."""
+"""Actions that the switch of expert maps returns to its daemon."""
 
 from typing import NamedTuple
 
@@ -6,20 +6,20 @@
 
 
 class SendDirectly(NamedTuple):
-    """Action: give an order to an engine whose agent does not answer."""
+    """Action: send an order straight to an engine whose agent is silent."""
 
     agent: str
-    ask: messages.OrderRequest
+    request: messages.OrderRequest
 
 
 class DemandJumped(NamedTuple):
-    """Action: record that requests choose other experts all at once.
+    """Action: log that requests abruptly select other experts.
 
     Attributes:
         group: Name of the group.
         distance: Half the sum of the differences of shares, mean of sets.
-        usual: Usual distance of that many choices.
-        gap_s: Seconds since the jump before, 0 for the first.
+        usual: Usual distance between recent and older counts.
+        gap_s: Seconds since the previous jump, 0 for the first.
     """
 
     group: str
@@ -29,14 +29,14 @@
 
 
 class PlanAccepted(NamedTuple):
-    """Action: record a plan that is carried out.
+    """Action: log a plan that is carried out.
 
     Attributes:
         group: Name of the group.
-        before: Peak of the placement in use, as a mean of the sets.
-        after: The same of the plan.
-        copies: Copies of the rank that makes the most.
-        lasts_s: How long demand is expected to stay as it is, seconds.
+        before: Peak load of the current placement, mean of sets.
+        after: Peak load of the planned placement, mean of sets.
+        copies: Highest number of experts that one rank copies.
+        lasts_s: Time for which demand is expected to last, seconds.
         since_jump_s: Seconds since the last jump, 0 before the first.
     """
 
@@ -49,13 +49,13 @@
 
 
 class SwitchCompleted(NamedTuple):
-    """Action: record how long the parts of a switch took, seconds.
+    """Action: log how long the parts of a switch took, seconds.
 
     Attributes:
         group: Name of the group.
-        copying_s: From the order to prepare until all had copied.
-        ordering_s: From the order to hold until all were armed.
-        settling_s: From there until every rank was seen on the new map.
+        copying_s: From the prepare order until all ranks have copied.
+        ordering_s: From the hold order until all ranks are armed.
+        settling_s: From then until every rank runs on the new map.
     """
 
     group: str
@@ -65,7 +65,7 @@
 
 
 class PhaseChanged(NamedTuple):
-    """Action: record a step of a switch, with what decided it."""
+    """Action: log that a switch enters another phase, and the reason."""
 
     group: str
     phase: str
--- a/jasperweir/components/mapswitch/coordinator.py
+++ b/jasperweir/components/mapswitch/coordinator.py
@@ -1,4 +1,4 @@
-"""Switches of all groups while this control VM leads; sans-I/O."""
+"""Coordinates the map switches of all groups on the leader; sans-I/O."""
 
 from collections.abc import Callable
 import itertools
@@ -22,21 +22,21 @@
 
 
 class Agent(NamedTuple):
-    """An agent that beats here: its data centre and when it was heard."""
+    """An agent that sends heartbeats here: its data centre, last contact."""
 
     place: str
-    at: float
+    heard_at: float
 
 
 class SentRequest(NamedTuple):
-    """What an agent was asked for last, and when."""
+    """The last rate request sent to an agent, and its time."""
 
-    ask: messages.ReportRateRequest
-    at: float
+    request: messages.ReportRateRequest
+    sent_at: float
 
 
 class Coordinator:
-    """All groups, as long as this control VM leads."""
+    """Coordinates all groups while this control VM is the leader."""
 
     def __init__(
         self,
@@ -46,19 +46,19 @@
         name: str = "",
         term_at: Callable[[float], int] | None = None,
     ) -> None:
-        """Begin without a lead.
+        """Create a coordinator that is not the leader yet.
 
         Args:
             place: Data centre of this control VM.
-            make_group: What makes a Group; passed in, since its module brings
-                a numeric library that only a leader needs.
-            name: Name of this control VM, for those who answer orders that
-                others pass on.
-            term_at: Returns the term in which this VM surely leads at a time,
-                0 if it doesn't. Asked before anything is done: frames that
-                waited for a VM which stood still are read before its timers
-                run, and would have made it give orders of a term that is over.
-                Without it ``lead`` tells.
+            make_group: Factory of Group; passed in because its module imports
+                numpy, which only a leader needs.
+            name: Name of this control VM, to which agents answer orders that
+                a relay has forwarded.
+            term_at: Returns the term in which this VM holds the lease at a
+                time, 0 if it doesn't. Called before each input: after a pause
+                of the VM, queued frames are read before its timers run, and
+                must not cause orders of a term that has ended. If absent,
+                only ``set_term`` sets the term.
         """
         self._term_at = term_at
         self._place = place
@@ -69,13 +69,13 @@
         self._agents: dict[str, Agent] = {}
         self._numbers = itertools.count(1)
         self._requests_checked_at = float("-inf")
-        # What each agent was asked last, and when.
+        # Last request to each agent.
         self._sent_requests: dict[str, SentRequest] = {}
         self._hold_senders: tuple[str, ...] = ()
 
     @property
     def is_leader(self) -> bool:
-        """Whether this control VM leads."""
+        """Whether this control VM is the leader."""
         return self._term > 0
 
     @property
@@ -88,7 +88,7 @@
         return list(self._groups.values())
 
     def set_term(self, term: int) -> None:
-        """Begin a term, or with 0 stop; nothing of an older one is kept."""
+        """Start a term, or stop with 0; drops the state of the older term."""
         if term == self._term:
             return
         self._term = term
@@ -102,18 +102,18 @@
         return self.is_leader
 
     def set_entries(self, names: list[str]) -> None:
-        """Note the entries; one of them gives the holds of each group."""
+        """Set the entries, one of which sends the holds of each group."""
         self._hold_senders = tuple(names)
         for group in self._groups.values():
             group.set_hold_senders(self._hold_senders)
 
     def on_agent(self, name: str, place: str, now: float) -> None:
-        """Note an agent that beats here."""
-        self._agents[name] = Agent(place=place, at=now)
+        """Record a heartbeat of an agent."""
+        self._agents[name] = Agent(place=place, heard_at=now)
         self._relays.on_agent(name, place)
 
     def set_relays(self, by_place: dict[str, str]) -> None:
-        """Note the control VMs of other data centres that pass orders on."""
+        """Set the control VMs that relay orders, by data centre."""
         self._relays.update(by_place)
 
     def receive(
@@ -123,7 +123,7 @@
         engines: dict[str, model.Engine],
         now: float,
     ) -> Actions:
-        """Handle a message of an agent."""
+        """Handle a message from an agent."""
         if not self._is_leader_at(now):
             return []
         match msg:
@@ -132,12 +132,12 @@
             case messages.OrderResult():
                 out: Actions = []
                 for group in self._groups.values():
-                    out += group.on_done(msg, now)
+                    out += group.on_order_result(msg, now)
                 return out
         return []
 
     def tick(self, now: float) -> Actions:
-        """Let time pass."""
+        """Advance all groups, and send rate requests that are due."""
         if not self._is_leader_at(now):
             return []
         out: Actions = []
@@ -167,26 +167,28 @@
         counted = self._select_counted_agents()
         out: Actions = []
         for name, agent in self._agents.items():
-            if now - agent.at >= const.HEARTBEAT_MAX_AGE_SECONDS * 4:
+            if now - agent.heard_at >= const.HEARTBEAT_MAX_AGE_SECONDS * 4:
                 continue
-            ask = messages.ReportRateRequest(
+            request = messages.ReportRateRequest(
                 term=self._term,
                 busy=busy,
                 counted=name in counted,
                 near=agent.place == self._place,
             )
-            asked = self._sent_requests.get(name)
-            if asked is not None and asked.ask == ask:
-                if now - asked.at < const.RATE_REQUEST_RESEND_SECONDS:
+            sent = self._sent_requests.get(name)
+            if sent is not None and sent.request == request:
+                if now - sent.sent_at < const.RATE_REQUEST_RESEND_SECONDS:
                     continue
-            self._sent_requests[name] = SentRequest(ask=ask, at=now)
-            out.append(core.Send(dst=name, msg=ask))
+            self._sent_requests[name] = SentRequest(
+                request=request, sent_at=now
+            )
+            out.append(core.Send(dst=name, msg=request))
         return out
 
     def _select_counted_agents(self) -> set[str]:
-        """Return the agents whose counts are read, the near ones first."""
+        """Return the agents that send counts, preferring near ones."""
         if not self._groups:
-            # Whoever tells first also tells its counts.
+            # Groups are unknown until their first heartbeat.
             known = sorted(self._agents, key=self._is_far)
             return set(known[: const.COUNTED_RANKS])
         chosen: set[str] = set()
--- a/jasperweir/components/mapswitch/counter.py
+++ b/jasperweir/components/mapswitch/counter.py
@@ -1,15 +1,15 @@
-"""What the requests of an engine chose since it was last read; sans-I/O."""
+"""Counts of expert selections between two reads of an engine; sans-I/O."""
 
 from typing import NamedTuple
 
 
 class Choices(NamedTuple):
-    """Choices of experts in some last time.
+    """Expert selections in the interval since the last read.
 
     Attributes:
-        seconds: Length of that time.
-        counts: How often each expert was chosen, set after set; empty if that
-            is not known.
+        seconds: Length of the interval, seconds.
+        counts: How often each expert was selected, all sets in one row; empty
+            if unknown.
     """
 
     seconds: float
@@ -20,13 +20,13 @@
 
 
 class Counter:
-    """Turn counts that only grow into what was chosen between two reads.
+    """Computes the differences of an engine's cumulative counts.
 
-    Differences are a third of the bytes of the counts, and one that is lost
-    takes nothing from those that follow.
+    Differences take a third of the bytes of cumulative counts, and a lost one
+    does not affect later ones.
 
     Attributes:
-        dropped: Readings that made no sense and were not used.
+        dropped: Number of inconsistent readings that were not used.
     """
 
     def __init__(self) -> None:
@@ -35,10 +35,10 @@
         self._at = 0.0
 
     def take(self, counts: tuple[int, ...], now: float) -> Choices:
-        """Take in a reading; return what was chosen since the last one.
+        """Return the selections between the last reading and this one.
 
-        A reading of another length, or one that goes back, begins anew: the
-        engine has restarted, or the reading is damaged.
+        After a reading of another length or with a lower count the differences
+        restart: the engine has restarted, or the reading is damaged.
         """
         old, self._counts = self._counts, counts
         since, self._at = self._at, now
--- a/jasperweir/components/mapswitch/demand.py
+++ b/jasperweir/components/mapswitch/demand.py
@@ -1,12 +1,8 @@
-"""Demand for experts: an average over time that starts anew at a jump.
-
-What requests choose changes slowly for seconds and then all at once. An
-average alone mixes both sides of a jump for as long as it remembers, and a
-plan made meanwhile fits neither. So the choices of the last reads are compared
-with those before them; where they differ by more than they usually do, the
-older ones are dropped. A group of four engines on the virtual clock is on a
-map that fits 1.0 s after a jump, with an average and changes of many copies
-after 2.7 to 3.2 s. Sans-I/O.
+"""Moving average of expert demand that is reset at a jump; sans-I/O.
+
+A moving average alone would mix the counts from before and after a jump, and a
+plan made from it would fit neither. So recent counts are compared with older
+ones, and the older ones are dropped if the distance is unusually large.
 """
 
 import collections
@@ -23,7 +19,7 @@
 
 
 class _CountInterval(NamedTuple):
-    """Choices counted from one time to another."""
+    """Selections counted in one interval; monotonic seconds."""
 
     begin: float
     end: float
@@ -35,8 +31,8 @@
 
     Attributes:
         distance: Half the sum of the differences of shares, mean of sets.
-        usual: Usual distance of that many choices.
-        gap_s: Seconds since the jump before, or since the start.
+        usual: Usual distance between recent and older counts.
+        gap_s: Seconds since the previous jump, 0 for the first.
     """
 
     distance: float
@@ -45,10 +41,10 @@
 
 
 class Demand:
-    """Shares of experts since the last jump.
+    """Estimates the share of each expert since the last jump.
 
     Attributes:
-        dropped: Counts that do not fit the engine and were not used.
+        dropped: Number of counts of a wrong size that were not used.
     """
 
     def __init__(self, *, sets: int, experts: int) -> None:
@@ -58,7 +54,7 @@
         self._older_at = 0.0
         self._recent: collections.deque[_CountInterval] = collections.deque()
         self._usual_distance, self._deviation = const.INITIAL_NOISE
-        # Choices that began earlier are from before the last jump.
+        # Start of the counts that belong to the present demand.
         self._counted_since = float("-inf")
         self._jumped_at: float | None = None
         self._gaps: collections.deque[float] = collections.deque(
@@ -68,25 +64,25 @@
 
     @property
     def tokens(self) -> float:
-        """Number of choices that the shares are made from."""
+        """Number of selections that the shares are computed from."""
         return float(self._older.sum() + self._recent_counts().sum())
 
     @property
     def expected_duration_s(self) -> float:
-        """Seconds that demand is expected to stay as it is."""
+        """Time for which the present demand is expected to last, seconds."""
         if not self._gaps:
             return const.MAX_DEMAND_DURATION_SECONDS
         mean = sum(self._gaps) / len(self._gaps)
         return min(mean, const.MAX_DEMAND_DURATION_SECONDS)
 
     def is_settled(self, now: float) -> bool:
-        """Tell whether enough has been counted since the last jump."""
+        """Return whether enough has been counted since the last jump."""
         if now - self._counted_since < const.JUMP_SETTLE_SECONDS:
             return False
         return self.tokens >= const.MIN_DEMAND_CHOICES
 
     def observe(self, choices: counter.Choices, now: float) -> Jump | None:
-        """Take in the choices of one rank; return a jump if they show one."""
+        """Add the selections of one rank; return a jump if one is detected."""
         if not choices.counts:
             return None
         if len(choices.counts) != self._older.size or choices.seconds <= 0:
@@ -116,7 +112,7 @@
         return total
 
     def _decay(self, now: float) -> None:
-        """Let time pass; what is fresh no more goes into the average."""
+        """Decay the average and add counts that are no longer recent."""
         passed = max(now - self._older_at, 0.0)
         self._older *= math.exp(-passed / const.DEMAND_TIME_CONSTANT_SECONDS)
         self._older_at = now
@@ -124,14 +120,14 @@
             self._older += self._recent.popleft().counts
 
     def _detect_jump(self, now: float) -> Jump | None:
-        """Compare the last reads with those before them."""
-        fresh = self._recent_counts()
+        """Compare recent counts with older ones."""
+        recent = self._recent_counts()
         least = const.MIN_DEMAND_CHOICES
-        if fresh.sum() < least or self._older.sum() < least:
+        if recent.sum() < least or self._older.sum() < least:
             return None
         if now - self._counted_since < const.JUMP_COOLDOWN_SECONDS:
             return None
-        apart = np.abs(_shares(fresh) - _shares(self._older)).sum(axis=1) / 2
+        apart = np.abs(_shares(recent) - _shares(self._older)).sum(axis=1) / 2
         distance = float(apart.mean())
         limit = self._usual_distance + const.JUMP_DEVIATIONS * self._deviation
         if distance > max(limit, const.MIN_JUMP_DISTANCE):
@@ -143,7 +139,7 @@
         return None
 
     def _reset_after_jump(self, distance: float, now: float) -> Jump:
-        """Forget what was counted before a jump."""
+        """Drop the counts from before a jump."""
         self._counted_since = now - const.JUMP_MARGIN_SECONDS
         self._older = np.zeros(self._shape)
         self._recent.clear()
--- a/jasperweir/components/mapswitch/group.py
+++ b/jasperweir/components/mapswitch/group.py
@@ -1,12 +1,12 @@
-"""The switch of one group's expert map, as its leader drives it; sans-I/O.
+"""State machine that switches the expert map of one group; sans-I/O.
 
 A switch prepares every rank, holds a coming pass at one rank, arms every
-rank for that pass, and releases it only when all are seen armed. A switch
-that fails is called off: every rank is disarmed and then prepares a further
-version, after which no late copy of an order can arm it, and only then the
-pass is released. So no pass begins on two maps, whichever order is lost,
-late, or carried out twice. A hold never expires: whoever takes over resolves
-what it finds.
+rank for that pass, and releases it once all ranks have reported to be armed. A
+switch that fails is called off: every rank is disarmed and then prepares a
+newer version, after which no delayed order can arm it, and only then the pass
+is released. So all ranks begin a pass on the same map even if orders are lost,
+delayed or repeated. A hold never expires: a new leader completes or calls off
+the switch that it finds.
 """
 
 import enum
@@ -29,12 +29,12 @@
 from jasperweir.components.mapswitch import switch_times
 
 Actions = list[Any]
-# Versions of two terms never meet: each term has this many bits to count.
+# Bits of a version below the term, so that versions of two terms differ.
 _VERSION_BITS = 12
 
 
 class Phase(enum.Enum):
-    """Where a group's switch stands."""
+    """Phase of a group's switch."""
 
     IDLE = "idle"
     PREPARING = "preparing"
@@ -46,12 +46,13 @@
 
 
 class Group:
-    """Switch of one group under one term.
+    """Switches the map of one group during one term.
 
     Attributes:
+        name: Name of the group.
         members: Its ranks.
         demand: Demand for its experts.
-        phase: Where its switch stands.
+        phase: Phase of its switch.
     """
 
     def __init__(
@@ -72,26 +73,25 @@
         self.phase = Phase.IDLE
         self._planner = planner_lib.Planner(engine=engine)
         self._term = term
-        # If the VM that has just given a hold stands still, no engine of the
-        # group should stand still with it: an entry gives the holds.
+        # An entry sends the holds, so that no engine of the group freezes
+        # together with the VM that has just sent one.
         self._hold_senders = hold_senders_lib.HoldSenders(hold_senders)
         self._version = term << _VERSION_BITS
-        # Whether an order to arm may still be under way; a new leader cannot
-        # know.
+        # Whether an order to arm may still arrive; unknown to a new leader.
         self._may_have_pending_arms = True
-        # Versions from here on were prepared after the last call-off.
+        # Lowest version prepared after the last call-off.
         self._min_valid_version = 0
         self._at_pass = 0
         self._epoch = 0
         self._phase_started_at = 0.0
         self._next_plan_at = 0.0
-        # Switches left in which orders are given more time.
+        # Coming switches that hold a pass further ahead.
         self._careful_switches_left = 0
         self._jumped_at = float("-inf")
         self._checked_at = float("-inf")
-        # Agent of a rank that had not copied its experts at the last look.
-        self._unprepared_agent = ""
-        # Holds of this switch that came after their pass.
+        # Agent of a rank that had not copied its experts at the last check.
+        self._behind = ""
+        # Holds of this switch that arrived after their pass.
         self._hold_attempts = 0
         self._times = switch_times.SwitchTimes()
         self._orders = orders_lib.OrderBook(
@@ -106,19 +106,19 @@
     def on_beat(
         self, src: str, beat: messages.EngineBeat, now: float
     ) -> Actions:
-        """Take in what an agent tells; a step that waited for it is taken."""
+        """Handle a heartbeat, and take the step that waited for it."""
         member = self.members.find_by_agent(src)
         old = member.state if member is not None else None
         self.members.on_beat(src, beat, now)
         jump = self.demand.observe(beat.choices, now)
         if jump is not None:
             self._jumped_at = now
-            # What is being planned is for a demand that is gone.
+            # The current plan is based on outdated demand.
             self._planner.cancel()
             self._next_plan_at = now
             self._records.append(actions.DemandJumped(self.name, *jump))
         if self.phase is Phase.IDLE and self._can_start_plan(now):
-            # What a plan waited for may just have come.
+            # The heartbeat may complete what a plan needs.
             return self.tick(now)
         if not self.busy or old is None:
             return []
@@ -129,10 +129,10 @@
         return self.tick(now)
 
     def _can_start_plan(self, now: float) -> bool:
-        """Tell whether a plan may begin; one that is made has its ticks.
+        """Return whether to check now if a plan can start.
 
-        Looking at all ranks with each beat of one would be work with the square
-        of the ranks: with 192, 116 of 252 profiler samples in its frames.
+        The rate is limited: a check of all ranks at each heartbeat would cost
+        the square of the number of ranks.
         """
         if now - self._checked_at < const.MIN_CHECK_INTERVAL_SECONDS:
             return False
@@ -142,51 +142,50 @@
         return True
 
     def _is_waiting_for_other(self, agent: str) -> bool:
-        """Tell whether a step that needs all ranks waits for another one.
+        """Return whether the next step waits for another agent's rank.
 
-        One rank that is behind tells that the step is not due, whatever others
-        tell; what is wrong with them shows with the next tick.
+        While that rank has not prepared the map, heartbeats of other ranks need
+        no check of all ranks; the next tick checks them.
         """
-        if self.phase is not Phase.PREPARING or agent == self._unprepared_agent:
+        if self.phase is not Phase.PREPARING or agent == self._behind:
             return False
-        member = self.members.find_by_agent(self._unprepared_agent)
+        member = self.members.find_by_agent(self._behind)
         return member is not None and member.state.prepared != self._version
 
-    def on_done(self, msg: messages.OrderResult, now: float) -> Actions:
-        """Take in what became of an order."""
-        waiting = self._orders.pop(msg.number)
-        if waiting is None:
+    def on_order_result(self, msg: messages.OrderResult, now: float) -> Actions:
+        """Handle the result of an order."""
+        pending = self._orders.pop(msg.number)
+        if pending is None:
             return []
-        # The rank that was meant, which need not be the one that tells.
-        src = waiting.agent
+        # The agent of the ordered rank; another node may send the result.
+        src = pending.agent
         member = self.members.find_by_agent(src)
         if msg.state is not None:
             self.members.on_state(src, msg.state, now)
         elif (
             msg.ok
             and member is not None
-            and self._is_result_known(waiting.order)
+            and self._is_result_known(pending.order)
         ):
-            state = self._state_after(waiting.order, member)
+            state = self._state_after(pending.order, member)
             self.members.on_state(src, state, now)
-        out = [] if msg.ok else self._on_refused(waiting.order, now)
+        out = [] if msg.ok else self._on_refused(pending.order, now)
         return out + self.tick(now)
 
     def tick(self, now: float) -> Actions:
-        """Let time pass and take the next step if it is due."""
+        """Send due orders again, and take the next step if it is due."""
         out: Actions = []
-        # A hold that is not confirmed is taken back, and a second copy of it
-        # could come after that.
+        # A hold is not sent again: a copy could arrive after its release.
         if self.phase is not Phase.HOLDING:
-            # Nothing waits for copies, so that nobody is passed by there.
+            # No pass waits for prepare orders, so they go through agents only.
             direct = self.phase is not Phase.PREPARING
             out += self._orders.resend(now, direct=direct)
         out += self._run_phase(now)
-        notes, self._records = self._records, []
-        return out + notes
+        records, self._records = self._records, []
+        return out + records
 
     def _is_result_known(self, order: messages.Order) -> bool:
-        """Tell whether an accepted order leaves a known state at once."""
+        """Return whether the state after an accepted order is known."""
         copying = self.phase is Phase.PREPARING
         return not (isinstance(order, messages.Prepare) and copying)
 
@@ -196,17 +195,17 @@
         state = order_executor.state_after(order, member.state)
         if isinstance(order, messages.Prepare):
             if self.phase is Phase.CALLING_OFF:
-                # Prepared only to make orders void, which copies nothing.
+                # The map in use is prepared again, without any copies.
                 state = state._replace(prepared=order.version)
         return state
 
     def set_hold_senders(self, names: tuple[str, ...]) -> None:
-        """Take in which nodes may give the holds."""
+        """Set the entries that may send holds."""
         self._hold_senders.update(names)
 
     @property
     def busy(self) -> bool:
-        """Whether a switch is under way."""
+        """Whether a switch is running."""
         return self.phase is not Phase.IDLE
 
     @property
@@ -218,7 +217,7 @@
 
     def _run_phase(self, now: float) -> Actions:
         if self.phase is Phase.PREPARING and self.members.any_held():
-            # The late copy of a hold that was taken back.
+            # A delayed hold has arrived after its release.
             return self._recover(now, "a pass is held while ranks copy")
         if self._orders.has_pending and self.phase is not Phase.ARMING:
             return self._handle_pending_orders(now)
@@ -237,7 +236,7 @@
                 return self._handle_switching(now)
 
     def _handle_pending_orders(self, now: float) -> Actions:
-        """Give up waiting where nothing has to be resolved first."""
+        """Check the timeout of the phases that can end with open orders."""
         if self.phase is Phase.PREPARING:
             return self._check_timeout(now, const.PREPARE_TIMEOUT_SECONDS)
         if self.phase is Phase.HOLDING:
@@ -246,22 +245,22 @@
         return []
 
     def _cancel_hold(self, now: float) -> Actions:
-        """Take back a hold whose giver does not answer.
+        """Release a hold whose sender does not answer, without disarming.
 
-        Its VM may stand still, with an engine that could not be disarmed.
+        The sender's VM may be frozen with an engine that could not be disarmed;
+        no rank is armed yet.
         """
         self._orders.clear()
-        # Its orders are lost, not those of the agents: the next switch needs no
-        # more time than the last ones. A first map after 1.3 s instead of 2.4
-        # (group of four engines on the virtual clock).
+        # Orders to agents are not affected, so the next switch holds no pass
+        # further ahead.
         self._hold_senders.select_next()
-        self._set_phase(Phase.RELEASING, now, "the hold is not confirmed")
+        self._set_phase(Phase.RELEASING, now, "hold not confirmed")
         release = messages.Release(at_pass=self._at_pass)
         return self._send_order(self.members.all()[0], release, now)
 
     def _handle_idle(self, now: float) -> Actions:
         due = self._planner.active or now >= self._next_plan_at
-        # A hold that came late stops all ranks once they reach its pass.
+        # A delayed hold would stall all ranks once they reach its pass.
         due = due or self.members.any_held()
         if not due or not self.members.is_complete(self._term, now):
             return []
@@ -269,8 +268,8 @@
         self._epoch = states[0].epoch
         if self.members.any_held() or any(s.armed for s in states):
             self._planner.cancel()
-            return self._recover(now, "found half done")
-        # Arms are only ever sent under a hold, and none is left.
+            return self._recover(now, "unfinished switch found")
+        # Orders to arm are sent only during a hold, and no hold is left.
         self._may_have_pending_arms = False
         if self._planner.active:
             return self._continue_plan(states, now)
@@ -298,54 +297,54 @@
     def _continue_plan(
         self, states: list[messages.EngineState], now: float
     ) -> Actions:
-        """Go on with a plan, and prepare it once it is made."""
+        """Continue a plan, and prepare its placement once it is found."""
         match self._planner.advance():
-            case planner_lib.PlanFound() as better:
-                return self._send_prepare(states, better, now)
+            case planner_lib.PlanFound() as plan:
+                return self._send_prepare(states, plan, now)
             case planner_lib.PlanUnfinished() | planner_lib.NoBetterPlan():
                 return []
 
     def _send_prepare(
         self,
         states: list[messages.EngineState],
-        better: planner_lib.PlanFound,
+        plan: planner_lib.PlanFound,
         now: float,
     ) -> Actions:
-        request = better.request
-        as_asked = (request.epoch, request.map_version)
-        if any((s.epoch, s.map_version) != as_asked for s in states):
-            # The group has formed anew while the plan was made.
+        request = plan.request
+        planned_for = (request.epoch, request.map_version)
+        if any((s.epoch, s.map_version) != planned_for for s in states):
+            # The group has re-formed while the plan was made.
             return []
         used = max(max(s.map_version, s.prepared) for s in states)
         self._version = max(self._version, used) + 1
-        self._record_plan(better, now)
+        self._record_plan(plan, now)
         self._times.start(now)
         self._set_phase(Phase.PREPARING, now, "better placement found")
         order = messages.Prepare(
-            version=self._version, placement=better.placement
+            version=self._version, placement=plan.placement
         )
         return self._send_to_all(order, now)
 
-    def _record_plan(self, better: planner_lib.PlanFound, now: float) -> None:
+    def _record_plan(self, plan: planner_lib.PlanFound, now: float) -> None:
         jumped = self._jumped_at > 0
         self._records.append(
             actions.PlanAccepted(
                 group=self.name,
-                before=better.before,
-                after=better.after,
-                copies=better.copies,
-                lasts_s=better.request.lasts_s,
+                before=plan.before,
+                after=plan.after,
+                copies=plan.copies,
+                lasts_s=plan.request.lasts_s,
                 since_jump_s=now - self._jumped_at if jumped else 0.0,
             )
         )
 
     def _handle_preparing(self, now: float) -> Actions:
         if not self.members.is_in_epoch(self._epoch):
-            return self._back_off(now, "group formed anew")
+            return self._back_off(now, "group re-formed")
         if self._jumped_at > self._phase_started_at:
             return self._discard_prepared_map(now)
-        self._unprepared_agent = self._find_unprepared_agent()
-        if not self._unprepared_agent:
+        self._behind = self._find_unprepared_agent()
+        if not self._behind:
             if not self.members.is_complete(self._term, now):
                 return self._check_timeout(now, const.PREPARE_TIMEOUT_SECONDS)
             self._times.on_copied(now)
@@ -355,20 +354,20 @@
         return self._check_timeout(now, const.PREPARE_TIMEOUT_SECONDS)
 
     def _find_unprepared_agent(self) -> str:
-        """Return the agent of a rank that has not copied its experts yet."""
+        """Return the agent of a rank that is not prepared, empty if none."""
         for member in self.members.all():
             if member.state.prepared != self._version:
                 return member.agent
         return ""
 
     def _discard_prepared_map(self, now: float) -> Actions:
-        """Leave a map that fits no more as soon as its copies have ended.
+        """Drop an outdated map once all ranks have copied its experts.
 
-        It was armed nowhere, and the next map has a higher version.
+        No rank is armed for it, and the next map has a higher version.
         """
         if self._find_unprepared_agent():
             return self._check_timeout(now, const.PREPARE_TIMEOUT_SECONDS)
-        self._set_phase(Phase.IDLE, now, "demand has jumped meanwhile")
+        self._set_phase(Phase.IDLE, now, "demand has jumped")
         self._next_plan_at = now
         return []
 
@@ -388,17 +387,17 @@
         )
 
     def _on_hold_refused(self, now: float) -> Actions:
-        """Hold a later pass if the one that was meant has begun.
+        """Hold a later pass if the intended one has begun.
 
-        No copy of the refused order can be accepted any more, and nothing is
-        armed yet, so the prepared map stays good.
+        The refused order cannot be accepted later, and no rank is armed yet, so
+        the prepared map stays usable.
         """
         self._times.on_late_hold()
         self._hold_attempts += 1
         has_begun = self.members.newest_pass(now) >= self._at_pass
         if self._hold_attempts < const.MAX_HOLD_ATTEMPTS and has_begun:
             if not self.members.any_held():
-                self._set_phase(Phase.HOLDING, now, "the pass has begun")
+                self._set_phase(Phase.HOLDING, now, "pass has begun")
                 return self._send_hold(now)
         return self._recover(now, "hold refused", careful=False)
 
@@ -413,13 +412,13 @@
 
     def _handle_arming(self, now: float) -> Actions:
         if not self.members.is_in_epoch(self._epoch):
-            return self._back_off(now, "group formed anew")
+            return self._back_off(now, "group re-formed")
         armed = all(self._is_armed(m) for m in self.members.all())
         if (
             not armed
             and now - self._phase_started_at > const.ARM_TIMEOUT_SECONDS
         ):
-            return self._recover(now, "arming took too long")
+            return self._recover(now, "arming timed out")
         if self._orders.has_pending:
             return []
         if not armed:
@@ -430,10 +429,10 @@
     def _recover(
         self, now: float, reason: str, *, careful: bool = True
     ) -> Actions:
-        """End what is half done: go through with it, or take it back.
+        """Complete or call off an unfinished switch.
 
-        Every rank is asked, armed or not, so that its state is known after
-        all earlier orders.
+        Every rank gets an order to disarm, also if it is not armed, so that its
+        state after all earlier orders is known.
         """
         self._orders.clear()
         if careful:
@@ -449,14 +448,14 @@
             return self._send_releases(now, "no rank has been armed")
         out: Actions = []
         for m in self.members.all():
-            # A rank that is not armed meets an order to disarm at once.
+            # A rank that is not armed accepts an order to disarm at once.
             disarm = messages.Disarm(version=m.state.armed or self._version - 1)
             out += self._send_order(m, disarm, now)
         return out
 
     def _handle_calling_off(self, now: float) -> Actions:
         if not self.members.is_in_epoch(self._epoch):
-            return self._back_off(now, "group formed anew")
+            return self._back_off(now, "group re-formed")
         members = self.members.all()
         if any(m.state.armed for m in members):
             return self._recover(now, "a rank is still armed")
@@ -470,11 +469,12 @@
     def _invalidate_arms(
         self, behind: list[members_lib.Member], now: float
     ) -> Actions:
-        """Make late copies of orders to arm void: prepare what is in use.
+        """Prepare the placement in use under a new version.
 
-        Nothing is copied for it, and an older version can be armed no more.
+        It copies nothing, and delayed orders to arm an older version are
+        refused afterwards.
         """
-        # A version that a lost order has used up would be refused.
+        # A lost order may have used the last version; reuse is refused.
         self._version += 1
         order = messages.Prepare(
             version=self._version, placement=self.members.placement()
@@ -494,20 +494,22 @@
     def _handle_switching(self, now: float) -> Actions:
         members = self.members.all()
         if not self.members.is_in_epoch(self._epoch):
-            return self._back_off(now, "group formed anew")
+            return self._back_off(now, "group re-formed")
         if any(m.state.held for m in members):
             return self._recover(now, "a pass is still held")
         if not any(m.state.armed for m in members):
-            self._set_phase(Phase.IDLE, now, "at rest")
+            self._set_phase(Phase.IDLE, now, "no rank is armed")
             self._next_plan_at = now
-            took = self._times.finish(now)
-            if took is not None:
-                self._records.append(actions.SwitchCompleted(self.name, *took))
+            durations = self._times.finish(now)
+            if durations is not None:
+                self._records.append(
+                    actions.SwitchCompleted(self.name, *durations)
+                )
             return []
         if self.phase is Phase.RELEASING:
             self._set_phase(Phase.SWITCHING, now, "released")
         if now - self._phase_started_at > const.PREPARE_TIMEOUT_SECONDS:
-            # An idle group makes no passes; it switches with its next ones.
+            # An idle group runs no passes; it switches with its next one.
             self._phase_started_at = now
         return []
 
@@ -522,7 +524,7 @@
 
     def _check_timeout(self, now: float, seconds: float) -> Actions:
         if now - self._phase_started_at > seconds:
-            return self._back_off(now, "took too long")
+            return self._back_off(now, "timed out")
         return []
 
     def _back_off(self, now: float, reason: str) -> Actions:
@@ -567,4 +569,4 @@
         now: float,
         sender: str = "",
     ) -> Actions:
-        return self._orders.send(member, order, self._epoch, now, giver=sender)
+        return self._orders.send(member, order, self._epoch, now, sender=sender)
--- a/jasperweir/components/mapswitch/members.py
+++ b/jasperweir/components/mapswitch/members.py
@@ -1,4 +1,4 @@
-"""What the leader knows of the ranks of one group."""
+"""Reported state of the ranks of one group."""
 
 import dataclasses
 import math
@@ -10,12 +10,12 @@
 
 
 class PassPace(NamedTuple):
-    """How fast passes follow each other.
+    """Measures the time of a pass.
 
     Attributes:
-        seconds: Time of a pass, 0 while it is not known.
-        passes: Pass from which the next measurement runs.
-        since: When that one was told, monotonic seconds.
+        seconds: Time of a pass, 0 if unknown.
+        passes: Pass at which the next measurement starts.
+        since: When that pass was reported, monotonic seconds.
     """
 
     seconds: float = 0.0
@@ -23,10 +23,10 @@
     since: float = float("-inf")
 
     def updated(self, passes: int, now: float) -> "PassPace":
-        """Return the pace after a rank has told of a pass.
+        """Return the pace after a rank has reported a pass.
 
-        It is measured over some passes: of two beats that follow closely, one
-        may show no pass at all.
+        The measurement spans a minimum time, since two heartbeats in quick
+        succession may report the same pass.
         """
         if passes < self.passes or self.since == float("-inf"):
             return PassPace(self.seconds, passes, now)
@@ -41,17 +41,18 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Member:
-    """One rank, as its agent last told.
+    """One rank as its agent last reported it; times are monotonic seconds.
 
     Attributes:
         agent: Name of the agent on its VM.
-        beat: Newest beat.
-        heard_at: When the beat arrived.
-        holds_until: Until when beats do not replace the state.
-        passes_at: When its newest pass was told.
-        told_held: Pass that it holds by its last beat or answer, also while
-            beats do not replace the state.
-        pace: How fast its passes follow each other.
+        beat: Newest heartbeat.
+        heard_at: When the heartbeat arrived.
+        state_fixed_until: Time until which heartbeats keep the state that an
+            order left.
+        pass_reported_at: When its newest pass was reported.
+        reported_held: Pass that it holds by its last heartbeat or order result,
+            also while heartbeats keep the state.
+        pace: Time of its passes.
     """
 
     agent: str
@@ -64,11 +65,11 @@
 
     @property
     def state(self) -> messages.EngineState:
-        """The engine's state."""
+        """State of the engine."""
         return self.beat.state
 
     def passes_since(self, now: float, pass_seconds: float) -> int:
-        """Return how many passes may have begun since the last beat."""
+        """Return how many passes may have begun since the last heartbeat."""
         if pass_seconds <= 0:
             return 0
         begun = (now - self.pass_reported_at) / pass_seconds
@@ -81,11 +82,11 @@
     def __init__(self) -> None:
         self._by_rank: dict[int, Member] = {}
         self._by_agent: dict[str, Member] = {}
-        # All in the order of their ranks, until another one is known.
+        # All members by rank; rebuilt when one is added or moves.
         self._ordered: list[Member] = []
 
     def on_beat(self, src: str, beat: messages.EngineBeat, now: float) -> None:
-        """Take in a beat."""
+        """Handle a heartbeat."""
         member = self._by_rank.get(beat.state.rank)
         if member is None:
             member = Member(agent=src, beat=beat, heard_at=now)
@@ -98,7 +99,7 @@
 
     def _rebuild_index(self) -> None:
         self._ordered = [self._by_rank[n] for n in sorted(self._by_rank)]
-        # Of two ranks at one agent the lower one counts.
+        # If two ranks share an agent, the lower one is used.
         self._by_agent = {m.agent: m for m in reversed(self._ordered)}
 
     def _update_member(
@@ -117,7 +118,7 @@
     def on_state(
         self, agent: str, state: messages.EngineState, now: float
     ) -> None:
-        """Take in the state that an order left behind."""
+        """Set the state that an order has left."""
         member = self._by_rank.get(state.rank)
         if member is None or member.agent != agent:
             return
@@ -128,15 +129,15 @@
         member.state_fixed_until = now + const.ORDER_STATE_SECONDS
 
     def find_by_agent(self, agent: str) -> Member | None:
-        """Return the rank at an agent."""
+        """Return the rank of an agent."""
         return self._by_agent.get(agent)
 
     def all(self) -> list[Member]:
-        """Return the known ranks in order."""
+        """Return the known ranks, ordered by number."""
         return self._ordered
 
     def is_complete(self, term: int, now: float) -> bool:
-        """Tell whether every rank is known, fresh and in step."""
+        """Return whether all ranks are known, recent and in one epoch."""
         members = self.all()
         if not members:
             return False
@@ -153,17 +154,17 @@
         )
 
     def any_held(self) -> bool:
-        """Tell whether any rank holds a pass."""
+        """Return whether any rank holds a pass."""
         return any(m.reported_held for m in self._by_rank.values())
 
     def is_uniformly_armed(self) -> bool:
-        """Tell whether every rank is armed for one map and pass."""
+        """Return whether all ranks are armed for the same map and pass."""
         states = [m.state for m in self.all()]
-        targets = {(s.armed, s.armed_at) for s in states}
-        return len(targets) == 1 and states[0].armed > 0
+        switches = {(s.armed, s.armed_at) for s in states}
+        return len(switches) == 1 and states[0].armed > 0
 
     def is_in_epoch(self, epoch: int) -> bool:
-        """Tell whether the group has not formed anew since an epoch."""
+        """Return whether the group has not re-formed since an epoch."""
         return all(m.state.epoch == epoch for m in self.all())
 
     def placement(self) -> messages.Placement:
@@ -175,9 +176,9 @@
         )
 
     def newest_pass(self, now: float) -> int:
-        """Return the newest pass that any rank has begun by now.
+        """Return the newest pass that any rank may have begun by now.
 
-        What was told is as old as its beat; passes go on meanwhile.
+        Adds the passes that have probably begun since each heartbeat.
         """
         seconds = self.pass_seconds()
         return max(
@@ -186,7 +187,7 @@
         )
 
     def pass_seconds(self) -> float:
-        """Return the usual time of a pass by what the ranks showed."""
+        """Return the median time of a pass, 0 if unknown."""
         times = [m.pace.seconds for m in self.all() if m.pace.seconds > 0]
         return statistics.median(times) if times else 0.0
 
@@ -194,10 +195,10 @@
 def is_same_step(
     state: messages.EngineState, other: messages.EngineState
 ) -> bool:
-    """Tell whether what the steps of a switch follow from is the same."""
+    """Return whether two states call for the same step of a switch."""
     return _step_state(state) == _step_state(other)
 
 
 def _step_state(state: messages.EngineState) -> messages.EngineState:
-    """Return the part of a state that the steps of a switch follow from."""
+    """Return a state without the fields that no step of a switch reads."""
     return state._replace(passes=0, sequence=0, pace=0.0, running=0, queued=0)
--- a/jasperweir/components/mapswitch/messages.py
+++ b/jasperweir/components/mapswitch/messages.py
@@ -1,4 +1,4 @@
-"""State of an engine, orders to it, and messages between leader and agent."""
+"""Engine state, orders to engines, messages between leader and agents."""
 
 from typing import NamedTuple
 
@@ -10,24 +10,24 @@
 
 
 class EngineState(NamedTuple):
-    """What an engine reports of itself.
+    """State that an engine reports.
 
     Attributes:
         group: Name of its group.
-        epoch: Counts how often the group has formed.
-        rank: Its place in the group.
-        size: Ranks of the group.
+        epoch: Number of times that the group has formed.
+        rank: Its rank in the group.
+        size: Number of ranks of the group.
         is_open: Whether the group runs passes.
-        sequence: Number of orders that have begun something.
-        passes: Number of the last pass that was begun.
-        map_version: Map in use.
+        sequence: Number of orders that have had an effect.
+        passes: Number of the newest pass that has begun.
+        map_version: Version of the map in use.
         prepared: Version whose experts are all copied, 0 if none.
-        armed: Version to which it switches, 0 if none.
-        armed_at: Pass at which it switches.
-        held: Pass that does not begin without a release, 0 if none.
-        pace: Above 1 if it is slow.
-        running: Requests that it runs.
-        queued: Requests that wait.
+        armed: Version to which it will switch, 0 if none.
+        armed_at: Pass at which it will switch.
+        held: Pass that waits for a release, 0 if none.
+        pace: Slowdown factor, above 1 if it is slow.
+        running: Number of running requests.
+        queued: Number of queued requests.
     """
 
     group: str
@@ -49,7 +49,7 @@
 
 @codec.message("order.prepare")
 class Prepare(NamedTuple):
-    """Copy the experts that are new in a map."""
+    """Order: copy the experts that a map adds."""
 
     version: int
     placement: Placement
@@ -57,7 +57,7 @@
 
 @codec.message("order.arm")
 class Arm(NamedTuple):
-    """Use a prepared map from a pass on."""
+    """Order: use a prepared map from a pass on."""
 
     version: int
     at_pass: int
@@ -65,21 +65,21 @@
 
 @codec.message("order.disarm")
 class Disarm(NamedTuple):
-    """Take an Arm back."""
+    """Order: revoke an Arm."""
 
     version: int
 
 
 @codec.message("order.hold")
 class Hold(NamedTuple):
-    """Do not begin a pass before its Release."""
+    """Order: do not begin a pass before its Release."""
 
     at_pass: int
 
 
 @codec.message("order.release")
 class Release(NamedTuple):
-    """Let a held pass begin."""
+    """Order: begin a held pass."""
 
     at_pass: int
 
@@ -89,15 +89,15 @@
 
 @codec.message("mapswitch.order_ask")
 class OrderRequest(NamedTuple):
-    """The leader of a term has an order for the engine at an agent.
+    """Order of a leader for one engine, sent to an agent or an entry.
 
     Attributes:
-        number: Number of the order, which rises within a term.
+        number: Number of the order, increasing within a term.
         term: Term of the leader.
-        epoch: Epoch of the group in which it holds.
+        epoch: Epoch of the group in which it is valid.
         engine: Address of the engine, which may be on another VM.
-        order: The order, tagged.
-        leader: Who is to be answered, if another node passes the order on.
+        order: The order, encoded with its tag.
+        leader: Name of the leader to answer, if a relay sends the order.
     """
 
     number: int
@@ -110,13 +110,13 @@
 
 @codec.message("mapswitch.order_done")
 class OrderResult(NamedTuple):
-    """What became of an order.
+    """Result of an order.
 
     Attributes:
         number: Number of the order.
-        term: Term that the agent holds.
-        ok: Whether the engine's state is now the one that was asked for.
-        state: State after it, if it could be read.
+        term: Highest term that the agent has seen.
+        ok: Whether the engine is now in the ordered state.
+        state: State after the order, None if it could not be read.
     """
 
     number: int
@@ -127,16 +127,16 @@
 
 @codec.message("mapswitch.beat")
 class EngineBeat(NamedTuple):
-    """An agent tells the leader of its engine.
+    """Heartbeat of an agent with the state of its engine.
 
     Attributes:
         service: Service of the engine.
         address: Address of the engine.
-        term: Highest term that the agent has seen; it takes no order of a
+        term: Highest term that the agent has seen; it refuses orders of a
             lower one.
-        state: What the engine reports.
-        choices: What its requests chose since its counts were told last; empty
-            if the leader did not ask for them.
+        state: State that the engine reports.
+        choices: Expert selections since the counts were last sent; empty if
+            the leader did not request them.
         experts: Experts that the engine holds, by set.
     """
 
@@ -149,7 +149,7 @@
 
 
 class SlowTarget(NamedTuple):
-    """A target that is slower than usual, by a factor."""
+    """A target that is slower than usual, and its slowdown factor."""
 
     address: str
     pace: float
@@ -157,20 +157,21 @@
 
 @codec.message("balance.slow")
 class SlowTargets(NamedTuple):
-    """The leader tells the entries which targets are slow at present."""
+    """List of the currently slow targets, from the leader to the entries."""
 
     targets: tuple[SlowTarget, ...]
 
 
 @codec.message("mapswitch.pace")
 class ReportRateRequest(NamedTuple):
-    """The leader of a term wants beats at a faster or slower pace.
+    """Request of a leader that sets the rate and content of heartbeats.
 
     Attributes:
         term: Term of the leader.
-        busy: Whether a switch is under way.
-        counted: Whether the beats are to hold what requests choose.
-        near: Whether beats cost little, so that there may be more of them.
+        busy: Whether a switch is running.
+        counted: Whether heartbeats contain expert selections.
+        near: Whether agent and leader share a data centre, so that more
+            frequent heartbeats are cheap.
     """
 
     term: int
--- a/jasperweir/components/mapswitch/order_executor.py
+++ b/jasperweir/components/mapswitch/order_executor.py
@@ -1,10 +1,10 @@
-"""Carry out orders at one engine; sans-I/O.
+"""Executes orders at one engine; sans-I/O.
 
-Used by the agent on the engine's VM, and by the leader itself for engines
-whose agents do not answer. An order that gets no answer may have been
-accepted, or may be carried out seconds later: it is posted again until the
-engine's state is the one asked for. What a late copy may still do is the
-coordinator's care.
+Used by the agent on the engine's VM, by the entry that sends holds, and by the
+leader for engines whose agents do not answer. An order without an answer may
+have been accepted or may take effect seconds later: it is posted again until
+the engine is in the ordered state. The group's state machine handles the
+effects of delayed orders.
 """
 
 import dataclasses
@@ -24,7 +24,7 @@
 
 
 class PostOrder(NamedTuple):
-    """Action: send an order to the engine; ``on_answer`` follows."""
+    """Action: post an order to the engine; ``on_answer`` follows."""
 
     order: messages.Order
     epoch: int
@@ -32,91 +32,99 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Job:
-    """The order that is being carried out.
+class OrderJob:
+    """The order that is being executed.
 
     Attributes:
         src: Leader that sent it.
-        ask: The order as it came.
+        request: The request as received.
         order: The order.
-        tries: How often it was posted or the engine could not be read.
+        attempts: Number of posts and of failed reads.
         refused: Whether the engine has refused it.
     """
 
     src: str
-    ask: messages.OrderRequest
+    request: messages.OrderRequest
     order: messages.Order
-    tries: int = 0
+    attempts: int = 0
     refused: bool = False
 
 
 class OrderExecutor:
-    """Carry out one order at a time; a newer one takes its place.
+    """Executes one order at a time; a newer one replaces it.
 
     Attributes:
         term: Highest term seen; orders of lower ones are refused.
     """
 
     def __init__(self, *, reads_are_fresh: bool = True) -> None:
-        """Begin without an order.
+        """Create an executor without an order.
 
         Args:
-            reads_are_fresh: Whether the engine's reports show its present
-                state, as they do on its own VM. From elsewhere they lag, and
-                only the answers to orders tell.
+            reads_are_fresh: Whether the engine's reports show its current
+                state, as they do on its own VM. On other VMs they lag, and
+                only the answers to orders are used.
         """
         self.term = 0
         self._reads_are_fresh = reads_are_fresh
-        self._job: Job | None = None
-        self._done: messages.OrderResult | None = None
-        # Whether a read or a post is under way.
+        self._job: OrderJob | None = None
+        self._last_result: messages.OrderResult | None = None
+        # Whether the result of a read or a post is awaited.
         self._is_action_pending = False
 
     # Inputs.
 
     def on_term(self, term: int) -> None:
-        """Take note of a leader's term; orders of older ones end."""
+        """Adopt a higher term; an order of an older one is dropped."""
         if term > self.term:
             self.term = term
             self._job = None
-            self._done = None
-
-    def on_order(self, src: str, ask: messages.OrderRequest) -> Actions:
-        """Take in an order."""
-        self.on_term(ask.term)
-        if ask.term < self.term:
-            done = messages.OrderResult(ask.number, self.term, False, None)
-            return [core.Send(dst=src, msg=done)]
-        if self._done is not None and self._done.number == ask.number:
-            return [core.Send(dst=src, msg=self._done)]
-        if self._job is not None and self._job.ask.number >= ask.number:
+            self._last_result = None
+
+    def on_order(self, src: str, request: messages.OrderRequest) -> Actions:
+        """Handle an order."""
+        self.on_term(request.term)
+        if request.term < self.term:
+            result = messages.OrderResult(
+                request.number, self.term, False, None
+            )
+            return [core.Send(dst=src, msg=result)]
+        if (
+            self._last_result is not None
+            and self._last_result.number == request.number
+        ):
+            return [core.Send(dst=src, msg=self._last_result)]
+        if self._job is not None and self._job.request.number >= request.number:
             return []
-        if self._done is not None and self._done.number > ask.number:
+        if (
+            self._last_result is not None
+            and self._last_result.number > request.number
+        ):
             return []
-        order = codec.unpack_tagged(ask.order)
-        self._job = Job(src=src, ask=ask, order=order)
+        order = codec.unpack_tagged(request.order)
+        self._job = OrderJob(src=src, request=request, order=order)
         return self._continue(self._job)
 
     def on_read(self, state: messages.EngineState | None) -> Actions:
-        """Take in the engine's state, None if it could not be read."""
+        """Handle the engine's state, None if it could not be read."""
         self._is_action_pending = False
         job = self._job
         if job is None:
             return []
         if state is None:
-            job.tries += 1
-            if job.tries >= const.MAX_ORDER_ATTEMPTS:
+            job.attempts += 1
+            if job.attempts >= const.MAX_ORDER_ATTEMPTS:
                 return self._finish(job, None, ok=False)
             return self._continue(job)
         if is_satisfied(job.order, state):
             return self._finish(job, state, ok=True)
-        spent = job.tries >= const.MAX_ORDER_ATTEMPTS
-        if job.refused or spent or state.epoch != job.ask.epoch:
+        is_exhausted = job.attempts >= const.MAX_ORDER_ATTEMPTS
+        if job.refused or is_exhausted or state.epoch != job.request.epoch:
             return self._finish(job, state, ok=False)
         return self._post(job, state.epoch, state.sequence)
 
     def on_answer(self, order: messages.Order, status: int | None) -> Actions:
-        """Take in the status of a posted order, None for no answer."""
+        """Handle the status of a posted order, None for no answer."""
         self._is_action_pending = False
         job = self._job
         if job is None:
@@ -125,32 +133,32 @@
             accepted = status in (200, 202)
             job.refused = not accepted
             if accepted or not self._reads_are_fresh:
-                # At once: this VM may be gone a moment later.
+                # Reported without another read, since this VM may fail first.
                 return self._finish(job, None, ok=accepted)
         return self._continue(job)
 
-    def _continue(self, job: Job) -> Actions:
+    def _continue(self, job: OrderJob) -> Actions:
         if self._is_action_pending:
             return []
         if self._reads_are_fresh:
             self._is_action_pending = True
             return [ReadState()]
-        if job.tries >= const.MAX_ORDER_ATTEMPTS:
+        if job.attempts >= const.MAX_ORDER_ATTEMPTS:
             return self._finish(job, None, ok=False)
-        return self._post(job, job.ask.epoch, None)
+        return self._post(job, job.request.epoch, None)
 
-    def _post(self, job: Job, epoch: int, sequence: int | None) -> Actions:
-        job.tries += 1
+    def _post(self, job: OrderJob, epoch: int, sequence: int | None) -> Actions:
+        job.attempts += 1
         self._is_action_pending = True
         return [PostOrder(order=job.order, epoch=epoch, sequence=sequence)]
 
     def _finish(
-        self, job: Job, state: messages.EngineState | None, *, ok: bool
+        self, job: OrderJob, state: messages.EngineState | None, *, ok: bool
     ) -> Actions:
-        done = messages.OrderResult(job.ask.number, self.term, ok, state)
+        result = messages.OrderResult(job.request.number, self.term, ok, state)
         self._job = None
-        self._done = done
-        return [core.Send(dst=job.src, msg=done)]
+        self._last_result = result
+        return [core.Send(dst=job.src, msg=result)]
 
 
 def state_after(
@@ -167,12 +175,12 @@
         case messages.Release():
             return state._replace(held=0)
         case messages.Prepare():
-            # The copies may still be under way.
+            # Copying may still be in progress.
             return state
 
 
 def is_satisfied(order: messages.Order, state: messages.EngineState) -> bool:
-    """Tell whether an engine is in the state that an order asks for."""
+    """Return whether an engine is in the state that an order requires."""
     match order:
         case messages.Prepare():
             return state.prepared == order.version
--- a/jasperweir/components/mapswitch/orders.py
+++ b/jasperweir/components/mapswitch/orders.py
@@ -1,4 +1,4 @@
-"""Orders of a leader that their agents have not answered yet."""
+"""Orders of a leader that have not been answered yet."""
 
 import dataclasses
 import itertools
@@ -17,16 +17,23 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class PendingOrder:
-    """An order that its agent has not answered yet."""
+    """An order that has not been answered yet.
+
+    Attributes:
+        agent: Agent of the ordered rank.
+        request: The request as it was sent.
+        order: The order.
+        due_at: When it is sent again, monotonic seconds.
+    """
 
     agent: str
-    ask: messages.OrderRequest
+    request: messages.OrderRequest
     order: messages.Order
     due_at: float
 
 
 class OrderBook:
-    """At most one open order for each rank of a group."""
+    """Sends orders and keeps at most one pending order for each rank."""
 
     def __init__(
         self,
@@ -39,7 +46,6 @@
         self._relays = relays
         self._numbers = numbers
         self._pending: dict[str, PendingOrder] = {}
-        # Agents by the numbers of their orders.
         self._agents_by_number: dict[int, str] = {}
         self._packed_order: messages.Order | None = None
         self._packed = b""
@@ -50,12 +56,12 @@
         return bool(self._pending)
 
     def clear(self) -> None:
-        """Wait for no answer any more."""
+        """Drop all pending orders."""
         self._pending.clear()
         self._agents_by_number.clear()
 
     def pop(self, number: int) -> PendingOrder | None:
-        """Return and close the order of a number."""
+        """Remove and return the pending order with a number."""
         agent = self._agents_by_number.pop(number, None)
         if agent is None:
             return None
@@ -68,10 +74,10 @@
         epoch: int,
         now: float,
         *,
-        giver: str,
+        sender: str,
     ) -> Actions:
-        """Give an order for a rank, through its agent or another node."""
-        ask = messages.OrderRequest(
+        """Send an order for a rank to its agent, or to another sender."""
+        request = messages.OrderRequest(
             number=next(self._numbers),
             term=self._term,
             epoch=epoch,
@@ -80,15 +86,15 @@
         )
         replaced = self._pending.get(member.agent)
         if replaced is not None:
-            self._agents_by_number.pop(replaced.ask.number, None)
-        self._agents_by_number[ask.number] = member.agent
+            self._agents_by_number.pop(replaced.request.number, None)
+        self._agents_by_number[request.number] = member.agent
         self._pending[member.agent] = PendingOrder(
             agent=member.agent,
-            ask=ask,
+            request=request,
             order=order,
             due_at=now + const.DIRECT_ORDER_DELAY_SECONDS,
         )
-        return [core.Send(dst=giver or member.agent, msg=ask)]
+        return [core.Send(dst=sender or member.agent, msg=request)]
 
     def send_all(
         self,
@@ -97,27 +103,32 @@
         epoch: int,
         now: float,
     ) -> Actions:
-        """Give one order for several ranks, through their agents."""
+        """Send one order for several ranks, through agents or relays."""
         sends: Actions = []
         for member in members:
-            sends += self.send(member, order, epoch, now, giver="")
+            sends += self.send(member, order, epoch, now, sender="")
         return self._relays.combine(sends)
 
     def _pack(self, order: messages.Order) -> bytes:
-        """Pack an order, once for all ranks that get the same one."""
+        """Encode an order, once for all ranks that get the same one."""
         if order is not self._packed_order:
             self._packed_order = order
             self._packed = codec.pack_tagged(order)
         return self._packed
 
     def resend(self, now: float, *, direct: bool) -> Actions:
-        """Send again what is due, and by itself to the engine if allowed."""
+        """Send due orders again.
+
+        Args:
+            now: Current time, monotonic seconds.
+            direct: Whether to send them straight to the engines as well.
+        """
         out: Actions = []
-        for waiting in self._pending.values():
-            if now < waiting.due_at:
+        for pending in self._pending.values():
+            if now < pending.due_at:
                 continue
-            waiting.due_at = now + const.ORDER_RESEND_SECONDS
-            out.append(core.Send(dst=waiting.agent, msg=waiting.ask))
+            pending.due_at = now + const.ORDER_RESEND_SECONDS
+            out.append(core.Send(dst=pending.agent, msg=pending.request))
             if direct:
-                out.append(actions.SendDirectly(waiting.agent, waiting.ask))
+                out.append(actions.SendDirectly(pending.agent, pending.request))
         return out
--- a/jasperweir/components/mapswitch/placement_search.py
+++ b/jasperweir/components/mapswitch/placement_search.py
@@ -1,12 +1,10 @@
-"""Search for a placement whose most loaded ranks have less to do.
-
-Ranks that hold an expert share its tokens evenly. A pass lasts, set by set,
-as long as the most loaded rank's part. Ranks copy at the same time, each one
-expert after the other, so a change takes as long as the rank with the most
-copies: the search looks for what the first copy of each rank brings, then the
-second, and so on. Replayed on recorded counts, where a copy took 0.4 s, the
-peak was 1.94 on average with one copy a rank and change, 2.30 with four.
-Sans-I/O.
+"""Local search for a placement with a lower peak load; sans-I/O.
+
+The ranks that hold an expert share its tokens evenly, and each set of a pass
+lasts as long as its most loaded rank needs. Ranks copy experts in parallel,
+but each rank one at a time, so a change takes as long as the rank with the most
+copies. The search therefore proceeds in stages of more and more copies per
+rank.
 """
 
 from typing import NamedTuple
@@ -19,17 +17,17 @@
 Floats = npt.NDArray[np.float64]
 Bools = npt.NDArray[np.bool_]
 Ints = npt.NDArray[np.int64]
-# Power of the times whose sum is to become small.
+# Exponent of the rank times whose sum is minimized.
 _TIME_EXPONENT = 8
 
 
 class Stage(NamedTuple):
-    """What a change with so many copies a rank would bring.
+    """Result of a search with a limit of copies per rank.
 
     Attributes:
-        copies: Copies of the rank that makes the most.
-        peak: Load of the most loaded rank over the mean, as a mean of sets.
-        held: Which rank holds which expert, by set.
+        copies: Highest number of experts that one rank copies.
+        peak: Peak load over mean load, mean of sets.
+        held: Whether a rank holds an expert, by set, shape (ranks, experts).
     """
 
     copies: int
@@ -38,7 +36,7 @@
 
 
 def to_matrix(ranks: tuple[tuple[int, ...], ...], experts: int) -> Bools:
-    """Return a set's placement as a table of ranks and experts."""
+    """Return a set's placement as a matrix, shape (ranks, experts)."""
     held = np.zeros((len(ranks), experts), dtype=bool)
     for rank, row in enumerate(ranks):
         held[rank, list(row)] = True
@@ -46,17 +44,17 @@
 
 
 def to_expert_lists(held: Bools) -> tuple[tuple[int, ...], ...]:
-    """Return a table as the expert numbers of each rank."""
+    """Return the expert numbers of each rank of a matrix."""
     return tuple(tuple(int(e) for e in np.flatnonzero(row)) for row in held)
 
 
 def initial_placement(ranks: int, experts: int) -> tuple[tuple[int, ...], ...]:
-    """Return the map of a new group, which assigns experts in turn."""
+    """Return the round-robin placement of a new group."""
     return tuple(tuple(range(rank, experts, ranks)) for rank in range(ranks))
 
 
 def clip_paces(reported: list[float]) -> Floats:
-    """Return how much longer each rank takes for the same work."""
+    """Return the slowdown factor of each rank, with a lower bound."""
     return np.maximum(np.array(reported, dtype=np.float64), 0.1)
 
 
@@ -67,7 +65,7 @@
 
 
 class _Move(NamedTuple):
-    """Experts that a rank adds and drops; below 0 for none."""
+    """Experts that a rank adds and drops; -1 for none."""
 
     rank: int
     add: int
@@ -78,8 +76,8 @@
     """Search in one set of layers.
 
     Attributes:
-        best: Best placement found.
-        best_peak: Its peak.
+        best: Best placement found, shape (ranks, experts).
+        best_peak: Its peak load over mean load.
     """
 
     def __init__(
@@ -103,16 +101,16 @@
 
     @property
     def copies(self) -> Ints:
-        """Copies that each rank makes for the best placement."""
+        """Number of experts that each rank copies, shape (ranks,)."""
         made: Ints = (self.best & ~self._start).sum(axis=1)
         return made
 
     def improve(self, copies_made: Ints, max_copies: int) -> bool:
-        """Make the move that helps most; False if none helps.
+        """Make the best move; return False if no move is an improvement.
 
         Args:
-            copies_made: Copies of each rank so far, in all sets; it is kept up.
-            max_copies: Copies that a rank may make.
+            copies_made: Copies of each rank in all sets; updated in place.
+            max_copies: Limit of copies per rank.
         """
         move = self._best_move(
             (copies_made < max_copies) & (self._added < self._spare)
@@ -132,13 +130,13 @@
         return True
 
     def _best_move(self, may_copy: Bools) -> _Move | None:
-        """Return the move that helps most.
+        """Return the best move, None if no move is an improvement.
 
-        A copy of one of the slowest rank's experts goes to another rank, in a
-        free place or in that of an expert with further copies; or the slowest
-        rank drops an expert that others hold. The measure is the sum of a
-        high power of the times: it falls when any rank near the peak is
-        relieved, so plateaus of the peak alone do not end the search.
+        Either another rank copies one of the slowest rank's experts, into free
+        space or in place of an expert with further copies, or the slowest rank
+        drops an expert that other ranks hold. The objective is the sum of a
+        high power of the times: it also falls if a rank near the peak is
+        relieved, so the search does not stop at a plateau of the peak.
         """
         loads = _loads(self._held, self._shares)
         times = loads * self._pace
@@ -181,7 +179,7 @@
         parts: Floats,
         may_copy: Bools,
     ) -> tuple[float, _Move] | None:
-        """Return the best rank for a further copy, and what it drops."""
+        """Return the best rank for a copy of an expert, with its objective."""
         allowed = ~self._held[:, add] & (may_copy | self._start[:, add])
         fit = [s for s in swaps if allowed[s[0]] and s[1] != add]
         if not fit:
@@ -191,7 +189,7 @@
         part = self._shares[add] / (copies[add] + 1)
         base = loads - self._held[:, add] * (parts[add] - part)
         dropping = drops >= 0
-        # What the other holders take over, and what the rank itself loses.
+        # Load that the other holders gain and that the rank itself loses.
         shared = np.where(
             dropping,
             self._shares[drops] / np.maximum(copies[drops] - 1, 1)
@@ -209,7 +207,7 @@
     def _drop_candidates(
         self, rank: int, copies: Ints, parts: Floats
     ) -> list[int]:
-        """Return what a rank may drop for a further expert."""
+        """Return the experts that a rank may drop; -1 if it has free space."""
         row = self._held[rank]
         if row.sum() < self._places:
             return [-1]
@@ -218,12 +216,12 @@
         return [int(expert) for expert in others[:2]]
 
 
-class Search:
-    """Search in all sets of a group, some moves at a time.
+class PlacementSearch:
+    """Search in all sets of a group, a few moves at a time.
 
     Attributes:
-        before: Peak of the placement in use, as a mean of the sets.
-        stages: What was found, with more and more copies a rank.
+        before: Peak load of the placement in use, mean of sets.
+        stages: Improvements found, ordered by copies per rank.
     """
 
     def __init__(
@@ -235,14 +233,14 @@
         places: int,
         spare: int,
     ) -> None:
-        """Begin a search.
+        """Create a search.
 
         Args:
-            start: Placement in use, by set.
-            shares: Share of each expert in its set; rows sum to 1.
-            pace: How much longer each rank takes for the same work.
+            start: Placement in use, by set, shape (ranks, experts).
+            shares: Share of each expert, shape (sets, experts); rows sum to 1.
+            pace: Slowdown factor of each rank, shape (ranks,).
             places: Experts that a rank may hold in a set.
-            spare: Experts that a rank may add in a set in one change.
+            spare: Experts that a rank may add to a set in one change.
         """
         self._sets = [
             _SetSearch(
@@ -262,7 +260,7 @@
         self._exhausted_sets: set[int] = set()
 
     def advance(self, moves: int) -> bool:
-        """Make up to so many moves; return whether the search has ended."""
+        """Make at most ``moves`` moves; return whether the search has ended."""
         for _ in range(moves):
             number = self._next_set()
             if number is None:
@@ -276,7 +274,7 @@
         return False
 
     def _next_set(self) -> int | None:
-        """Return the set that needs a move most, None if no move is left."""
+        """Return the set with the highest peak, None if no move is left."""
         left = [
             (found.best_peak, number)
             for number, found in enumerate(self._sets)
@@ -286,7 +284,7 @@
         return max(left)[1] if left else None
 
     def _end_stage(self) -> bool:
-        """Note what was found; return whether more copies are of no use."""
+        """Record the stage and raise the limit; return True at the end."""
         copies = sum(found.copies for found in self._sets)
         stage = Stage(
             copies=int(np.max(copies)),
--- a/jasperweir/components/mapswitch/planner.py
+++ b/jasperweir/components/mapswitch/planner.py
@@ -1,7 +1,7 @@
-"""Plans of one group's placement, made some moves at a time; sans-I/O.
+"""Plans the placement of one group in short calls; sans-I/O.
 
-A leader has a fraction of a core and must answer heartbeats within tenths of
-a second: a large group's plan takes longer than that as a whole.
+The plan of a large group takes longer than a leader may delay its heartbeats,
+so it is split into calls of a few moves each.
 """
 
 from typing import NamedTuple
@@ -13,16 +13,16 @@
 
 
 class PlanRequest(NamedTuple):
-    """What a plan is made for.
+    """Input of a plan.
 
     Attributes:
         epoch: Epoch of the group.
-        map_version: Map in use.
+        map_version: Version of the map in use.
         current: Placement in use.
         shares: Share of each expert in its set, rows that sum to 1.
-        paces: How much longer each rank takes for the same work.
-        lasts_s: How long the demand is expected to stay as it is, seconds.
-        switch_s: How long a switch takes besides its copies, seconds.
+        paces: Slowdown factor of each rank, shape (ranks,).
+        lasts_s: Time for which demand is expected to last, seconds.
+        switch_s: Time of a switch without its copies, seconds.
     """
 
     epoch: int
@@ -35,14 +35,14 @@
 
 
 class PlanFound(NamedTuple):
-    """Outcome: a placement that is worth its copies.
+    """Outcome: a placement whose gain exceeds the cost of its copies.
 
     Attributes:
-        question: What it answers.
+        request: Input of the plan.
         placement: The placement.
-        before: Peak of the placement in use, as a mean of the sets.
-        after: The same of this one.
-        copies: Copies of the rank that makes the most.
+        before: Peak load of the placement in use, mean of sets.
+        after: Peak load of the new placement, mean of sets.
+        copies: Highest number of experts that one rank copies.
     """
 
     request: PlanRequest
@@ -53,7 +53,7 @@
 
 
 class NoBetterPlan(NamedTuple):
-    """Outcome: the placement in use stays."""
+    """Outcome: no placement is worth its copies."""
 
 
 class PlanUnfinished(NamedTuple):
@@ -64,23 +64,23 @@
 
 
 class Planner:
-    """Work on one question at a time."""
+    """Works on one plan at a time."""
 
     def __init__(self, *, engine: model.Engine) -> None:
         self._engine = engine
         self._request: PlanRequest | None = None
-        self._search: placement_search.Search | None = None
+        self._search: placement_search.PlacementSearch | None = None
 
     @property
     def active(self) -> bool:
-        """Whether a question is being worked on."""
+        """Whether a plan is in progress."""
         return self._request is not None
 
     def start(self, request: PlanRequest) -> None:
-        """Take up a question; an older one is dropped."""
+        """Start a plan; one in progress is cancelled."""
         experts = self._engine.experts
         self._request = request
-        self._search = placement_search.Search(
+        self._search = placement_search.PlacementSearch(
             start=tuple(
                 placement_search.to_matrix(ranks, experts)
                 for ranks in request.current
@@ -92,12 +92,12 @@
         )
 
     def cancel(self) -> None:
-        """Give up the question."""
+        """Cancel the plan."""
         self._request = None
         self._search = None
 
     def advance(self) -> Outcome:
-        """Search a little further."""
+        """Search a few moves further."""
         request, search = self._request, self._search
         if request is None or search is None:
             return NoBetterPlan()
@@ -132,26 +132,26 @@
     switch_s: float,
     lasts_s: float,
 ) -> placement_search.Stage | None:
-    """Return the change that saves most time until the demand moves on.
+    """Return the stage with the lowest cost while demand lasts.
 
-    A change with few copies helps sooner; the rest can follow with a second
-    one. Compared is the peak summed over time.
+    A stage with few copies takes effect sooner; the other copies can follow in
+    a second switch. The cost is the peak load summed over time.
 
     Args:
-        before: Peak of the placement in use.
-        stages: Changes with more and more copies a rank.
-        copy_s: Time in which a rank copies one expert, seconds.
-        switch_s: Time that a switch takes besides, seconds.
-        lasts_s: How long the demand is expected to stay as it is, seconds.
+        before: Peak load of the placement in use.
+        stages: Stages of a search, ordered by copies per rank.
+        copy_s: Time to copy one expert, seconds.
+        switch_s: Time of a switch without its copies, seconds.
+        lasts_s: Time for which demand is expected to last, seconds.
 
     Returns:
-        The best change, None if none is worth its copies.
+        The best stage, None if none is worth its copies.
     """
     if not stages:
         return None
     final = stages[-1]
     best: placement_search.Stage | None = None
-    least = before * lasts_s
+    lowest_cost = before * lasts_s
     for stage in stages:
         gain = before - stage.peak
         if gain < const.MIN_GAIN * before:
@@ -162,6 +162,6 @@
         left_s = max(0.0, lasts_s - first_s - second_s)
         cost = before * first_s + stage.peak * second_s + final.peak * left_s
         cost += const.COPY_COST * final.copies * copy_s
-        if cost < least:
-            least, best = cost, stage
+        if cost < lowest_cost:
+            lowest_cost, best = cost, stage
     return best
--- a/jasperweir/components/mapswitch/relays.py
+++ b/jasperweir/components/mapswitch/relays.py
@@ -1,9 +1,9 @@
-"""Large orders go once to each data centre and are passed on there; sans-I/O.
+"""Relays large orders through one control VM of each data centre; sans-I/O.
 
-An order to prepare names the experts of all ranks: 13.5 KB packed for 192, so
-that one to each is 2.6 MB from the leader's own link, most of it between data
-centres. A control VM of each data centre passes them on instead. Agents answer
-the leader itself; what is not answered is sent again, by the leader itself.
+A prepare order lists the experts of all ranks, some 13 KB for 192 ranks, which
+the leader would have to send to each agent. Instead it sends one copy to each
+data centre, where a control VM forwards it. Agents answer the leader, which
+sends unanswered orders again to the agents themselves.
 """
 
 from typing import Any
@@ -20,7 +20,7 @@
 
 
 class RelayedOrder(NamedTuple):
-    """What differs between the orders to the agents of a data centre."""
+    """The part of a relayed order that differs between agents."""
 
     agent: str
     number: int
@@ -29,14 +29,14 @@
 
 @codec.message("mapswitch.order_relay")
 class OrderRelay(NamedTuple):
-    """The leader has one order for several agents near a control VM.
+    """One order for several agents in the data centre of a control VM.
 
     Attributes:
-        leader: Who gives the order and is to be answered.
+        leader: Name of the leader, which agents answer.
         term: Term of the leader.
-        epoch: Epoch of the group in which it holds.
-        order: The order, tagged and compressed.
-        asks: The agents.
+        epoch: Epoch of the group in which it is valid.
+        order: The order, encoded with its tag and compressed.
+        asks: Agent, number and engine of each order.
     """
 
     leader: str
@@ -47,10 +47,10 @@
 
 
 class OrderRelays:
-    """The control VMs that pass orders on, and who is near them."""
+    """Combines equal orders to agents in the same data centre."""
 
     def __init__(self, *, name: str = "") -> None:
-        """Begin with nobody who passes orders on.
+        """Create a combiner without relays.
 
         Args:
             name: Name of this control VM.
@@ -60,18 +60,18 @@
         self._places: dict[str, str] = {}
 
     def update(self, by_place: dict[str, str]) -> None:
-        """Take in which control VM passes orders on, by data centre."""
+        """Set the relays, by data centre."""
         self._by_place = by_place
 
     def on_agent(self, name: str, place: str) -> None:
-        """Note where an agent is."""
+        """Record the data centre of an agent."""
         self._places[name] = place
 
     def combine(self, sends: list[core.Send]) -> Actions:
-        """Return the same orders, bundled where that saves bytes.
+        """Return the orders, combined for each relay if that saves bytes.
 
         Args:
-            sends: Orders that differ in nothing but whom they are for.
+            sends: Orders that differ only in agent, number and engine.
         """
         order = sends[0].msg.order if sends else b""
         if len(order) < const.MIN_RELAY_BYTES:
@@ -107,16 +107,18 @@
 
 
 def expand(relay: OrderRelay) -> list[core.Send]:
-    """Return the orders that a control VM passes on.
+    """Return the orders that a control VM forwards.
 
     Raises:
-        FrameError: The order cannot be read.
+        FrameError: The order cannot be decompressed.
     """
     unpacker = zlib.decompressobj()
     try:
         order = unpacker.decompress(relay.order, codec.MAX_FRAME_BYTES)
     except zlib.error as exc:
-        raise exceptions.FrameError(f"relayed order: {exc}") from exc
+        raise exceptions.FrameError(
+            f"relayed order cannot be decompressed: {exc}"
+        ) from exc
     return [
         core.Send(
             dst=ask.agent,
--- a/jasperweir/components/mapswitch/report_schedule.py
+++ b/jasperweir/components/mapswitch/report_schedule.py
@@ -1,24 +1,24 @@
-"""When an agent tells the leader of its engine; sans-I/O.
+"""Schedules an agent's reads of its engine and its heartbeats; sans-I/O.
 
-Reading the engine is free on its own VM, telling is not: the leader of a
-group of 72 ranks that all told it ten times a second could not keep up.
+Reads are local and cheap. Heartbeats are sent less often, so that the leader
+of a large group can process them all.
 """
 
 from jasperweir.components.mapswitch import const
 from jasperweir.components.mapswitch import members
 from jasperweir.components.mapswitch import messages
 
-# A tick that comes this much too early still counts, so that what is due every
-# other tick is not put off to the third. Seconds.
+# Tolerance for early ticks, seconds: without it, an action that is due at every
+# second tick would slip to the third.
 _EARLY_SECONDS = 0.005
 
 
 class ReportSchedule:
-    """Beats of one agent.
+    """Schedules reads and heartbeats of one agent.
 
     Attributes:
-        busy: Whether the leader has a switch under way.
-        counted: Whether the leader wants the counts of this engine.
+        busy: Whether a switch is running.
+        counted: Whether the leader needs the counts of this engine.
         near: Whether the leader is in the same data centre.
     """
 
@@ -34,7 +34,7 @@
     def on_rate_request(
         self, leader: str, ask: messages.ReportRateRequest
     ) -> None:
-        """Take in what the leader wants."""
+        """Apply a leader's rate request."""
         if leader != self._leader:
             self._leader = leader
             self._last_reported = None
@@ -43,7 +43,7 @@
         self.near = ask.near
 
     def is_read_due(self, now: float) -> bool:
-        """Tell whether the engine is to be read now."""
+        """Return whether to read the engine now, and record the read."""
         if now < self.next_read_at - _EARLY_SECONDS:
             return False
         self._read_at = now
@@ -51,23 +51,23 @@
 
     @property
     def next_read_at(self) -> float:
-        """When the engine is to be read next, monotonic seconds."""
-        pause = const.READ_SECONDS
+        """Time of the next read, monotonic seconds."""
+        interval_s = const.READ_SECONDS
         if self.counted and self.near:
-            pause = const.NEAR_READ_SECONDS
+            interval_s = const.NEAR_READ_SECONDS
         if self.busy:
-            pause = const.BUSY_READ_SECONDS
-        return self._read_at + pause
+            interval_s = const.BUSY_READ_SECONDS
+        return self._read_at + interval_s
 
     def is_report_due(self, state: messages.EngineState, now: float) -> bool:
-        """Tell whether the leader is to be told of a state now."""
+        """Return whether to send a heartbeat now, and record it as sent."""
         old = self._last_reported
-        silent = now - self._reported_at
+        silence_s = now - self._reported_at
         due = (
             old is None
             or not members.is_same_step(state, old)
             or abs(state.pace - old.pace) >= const.MIN_PACE_CHANGE
-            or silent >= self._max_report_interval(state) - _EARLY_SECONDS
+            or silence_s >= self._max_report_interval(state) - _EARLY_SECONDS
         )
         if due:
             self._last_reported = state
@@ -75,9 +75,9 @@
         return due
 
     def _max_report_interval(self, state: messages.EngineState) -> float:
-        """Return how long the leader may go without a beat."""
+        """Return the longest interval between two heartbeats, seconds."""
         if self.counted and self.near:
             return const.NEAR_READ_SECONDS
         if self.counted or state.size <= const.COUNTED_RANKS:
             return const.READ_SECONDS
-        return const.QUIET_BEAT_SECONDS
+        return const.QUIET_REPORT_SECONDS
--- a/jasperweir/components/mapswitch/slow_news.py
+++ b/jasperweir/components/mapswitch/slow_news.py
@@ -1,26 +1,26 @@
-"""When the entries are told which targets are slow; sans-I/O."""
+"""Schedules the notices of slow targets to the entries; sans-I/O."""
 
 from jasperweir.components.mapswitch import const
 from jasperweir.components.mapswitch import messages
 
 
 class SlowNews:
-    """What the entries were told last, and when."""
+    """Decides when the list of slow targets is sent to the entries."""
 
     def __init__(self) -> None:
-        self._told = messages.SlowTargets(targets=())
-        self._told_at = float("-inf")
+        self._sent = messages.SlowTargets(targets=())
+        self._sent_at = float("-inf")
 
     def is_due(self, slow: messages.SlowTargets, now: float) -> bool:
-        """Tell whether the entries are to be told now; note it if so.
+        """Return whether to send the list now, and record it as sent.
 
-        A change is told at once; while any target is slow the same is told
-        again, since entries believe it for a while only.
+        A change is sent at once. A list that is not empty is repeated, since
+        it expires at the entries.
         """
-        if slow == self._told:
-            rests = now - self._told_at < const.SLOW_TARGETS_RESEND_SECONDS
-            if rests or not slow.targets:
+        if slow == self._sent:
+            is_recent = now - self._sent_at < const.SLOW_TARGETS_RESEND_SECONDS
+            if is_recent or not slow.targets:
                 return False
-        self._told = slow
-        self._told_at = now
+        self._sent = slow
+        self._sent_at = now
         return True
--- a/jasperweir/daemons/site_control.py
+++ b/jasperweir/daemons/site_control.py
@@ -308,7 +308,7 @@
                 self._on_version(act.version)
             case mapswitch_actions.SendDirectly():
                 self._host.metrics.inc("orders_given_directly")
-                self._direct.give(act.agent, act.ask)
+                self._direct.give(act.agent, act.request)
             case mapswitch_actions.PhaseChanged():
                 _log.info("expert map", **act._asdict())
             case mapswitch_actions.DemandJumped():
