--- a/features/harness/engines.py
+++ b/features/harness/engines.py
@@ -6,7 +6,7 @@
 from jasperweir.components.deployment import model
 from jasperweir.components.mapswitch import actions
 from jasperweir.components.mapswitch import coordinator as coordinator_lib
-from jasperweir.components.mapswitch import counter as counter_lib
+from jasperweir.components.mapswitch import expert_counts
 from jasperweir.components.mapswitch import group as group_lib
 from jasperweir.components.mapswitch import messages
 from jasperweir.components.mapswitch import order_executor
@@ -209,7 +209,9 @@
         self.agents = {
             f"a{i}": order_executor.OrderExecutor() for i in range(ranks)
         }
-        self.counters = {name: counter_lib.Counter() for name in self.agents}
+        self.counters = {
+            name: expert_counts.CountDiffer() for name in self.agents
+        }
         self.leaders = {}
         self.direct_executors = {}
         self.down = {}
@@ -275,7 +277,7 @@
             if not self.is_up(name):
                 continue
             rank = self.group.ranks[i]
-            beat = messages.EngineBeat(
+            heartbeat = messages.EngineHeartbeat(
                 service="s",
                 address=name,
                 term=executor.term,
@@ -284,12 +286,12 @@
                 experts=rank.held_map,
             )
             for leader in self.leaders:
-                self.send(name, leader, beat)
+                self.send(name, leader, heartbeat)
 
     def read_choices(self, name, rank):
         if name not in self.counted:
-            return counter_lib.NO_CHOICES
-        return self.counters[name].take(tuple(rank.counts), self.now)
+            return expert_counts.NO_CHOICES
+        return self.counters[name].update(tuple(rank.counts), self.now)
 
     def send(self, src, dst, msg):
         if self.tap is not None and self.tap(self, src, dst, msg):
--- a/features/steps/demand_steps.py
+++ b/features/steps/demand_steps.py
@@ -5,8 +5,8 @@
 from behave import when
 import numpy as np
 
-from jasperweir.components.mapswitch import counter as counter_lib
 from jasperweir.components.mapswitch import demand as demand_lib
+from jasperweir.components.mapswitch import expert_counts
 from jasperweir.components.mapswitch import placement_search
 from jasperweir.components.mapswitch import planner as planner_lib
 
@@ -63,7 +63,7 @@
                 topic = popular(100 + int(context.rng.integers(9)))
                 shares = (1 - topic_share) * shares + topic_share * topic
             counts = [context.rng.multinomial(CHOICES, row) for row in shares]
-            choices = counter_lib.Choices(
+            choices = expert_counts.ExpertCounts(
                 seconds=READ_SECONDS,
                 counts=tuple(int(c) for row in counts for c in row),
             )
@@ -104,7 +104,7 @@
 @when("a rank reports its selections of the last 3 seconds")
 def step_reports_late(context):
     counts = (popular(1) * 30 * CHOICES).astype(int).ravel()
-    choices = counter_lib.Choices(
+    choices = expert_counts.ExpertCounts(
         seconds=3.0, counts=tuple(int(c) for c in counts)
     )
     context.demand.observe(choices, context.now)
@@ -160,13 +160,13 @@
 
 @given("an agent that has read the counts {counts}")
 def step_read(context, counts):
-    context.counter = counter_lib.Counter()
-    context.counter.take(numbers(counts), 10.0)
+    context.counter = expert_counts.CountDiffer()
+    context.counter.update(numbers(counts), 10.0)
 
 
 @when("it reads the counts {counts} a second later")
 def step_read_again(context, counts):
-    context.choices = context.counter.take(numbers(counts), 11.0)
+    context.choices = context.counter.update(numbers(counts), 11.0)
 
 
 @then("it reports {reported} with {dropped:d} dropped")
@@ -182,7 +182,7 @@
 
 @when("a rank reports counts of 7 experts")
 def step_misfit(context):
-    choices = counter_lib.Choices(seconds=0.1, counts=(10_000,) * 7)
+    choices = expert_counts.ExpertCounts(seconds=0.1, counts=(10_000,) * 7)
     assert context.demand.observe(choices, 1.0) is None
 
 
@@ -243,7 +243,7 @@
 
 def search(start, shares):
     return placement_search.PlacementSearch(
-        start=start, shares=shares, pace=np.ones(RANKS), places=11, spare=4
+        start=start, shares=shares, slowdown=np.ones(RANKS), places=11, spare=4
     )
 
 
--- a/features/steps/large_steps.py
+++ b/features/steps/large_steps.py
@@ -19,10 +19,10 @@
 from jasperweir.components.directory import directory as directory_lib
 from jasperweir.components.directory import records
 from jasperweir.components.follow import follower as follower_lib
-from jasperweir.components.mapswitch import counter as counter_lib
+from jasperweir.components.mapswitch import expert_counts
 from jasperweir.components.mapswitch import group as group_lib
 from jasperweir.components.mapswitch import messages as mapswitch_messages
-from jasperweir.components.mapswitch import slow_news
+from jasperweir.components.mapswitch import slow_target_notifier
 from jasperweir.daemons import loop_host
 from jasperweir.helpers import loop_link
 
@@ -399,12 +399,12 @@
     rank = context.dep.group.ranks[number]
     state = context.dep.group.state(rank)
     version = context.group._version if done else 0
-    return mapswitch_messages.EngineBeat(
+    return mapswitch_messages.EngineHeartbeat(
         service="s",
         address=f"a{number}",
         term=1,
         state=state._replace(prepared=version, armed=0),
-        choices=counter_lib.NO_CHOICES,
+        choices=expert_counts.NO_CHOICES,
         experts=rank.held_map,
     )
 
@@ -554,7 +554,7 @@
 
 @when("a target turns slow at 1.0 s, gets slower at 1.2 s and is well at 3.0 s")
 def step_turns_slow(context):
-    news = slow_news.SlowNews()
+    news = slow_target_notifier.SlowTargetNotifier()
     context.told = []
     for tenth in range(50):
         now = tenth / 10
--- a/features/steps/mapswitch_plan_steps.py
+++ b/features/steps/mapswitch_plan_steps.py
@@ -7,7 +7,7 @@
 
 from features.harness import engines
 from jasperweir.components.mapswitch import coordinator as coordinator_lib
-from jasperweir.components.mapswitch import counter as counter_lib
+from jasperweir.components.mapswitch import expert_counts
 from jasperweir.components.mapswitch import group as group_lib
 from jasperweir.components.mapswitch import messages
 from jasperweir.components.mapswitch import placement_search
@@ -38,7 +38,7 @@
             current=(placement_search.initial_placement(ranks, experts),)
             * sets,
             shares=weights / weights.sum(axis=1, keepdims=True),
-            paces=np.ones(ranks),
+            slowdowns=np.ones(ranks),
         )
     )
 
@@ -65,7 +65,7 @@
         context.outcome.placement, request.shares, strict=True
     ):
         held = placement_search.to_matrix(ranks, len(shares))
-        peak = placement_search.peak(held, shares, request.paces)
+        peak = placement_search.peak(held, shares, request.slowdowns)
         assert peak <= times, peak
 
 
@@ -90,7 +90,7 @@
         dep.run(engines.STEP)
         for leader in dep.leaders.values():
             for group in leader.groups():
-                if group.planning:
+                if group.is_planning:
                     return group
     raise AssertionError("no plan was begun")
 
@@ -100,7 +100,7 @@
     "there and {far:d} elsewhere"
 )
 def step_leader_with_heartbeats(context, place, near, far):
-    add_agents(context, place, near, far, beats=True)
+    add_agents(context, place, near, far, with_heartbeats=True)
 
 
 @given(
@@ -108,10 +108,10 @@
     "{far:d} elsewhere"
 )
 def step_leader_knows(context, place, near, far):
-    add_agents(context, place, near, far, beats=False)
+    add_agents(context, place, near, far, with_heartbeats=False)
 
 
-def add_agents(context, place, near, far, *, beats):
+def add_agents(context, place, near, far, *, with_heartbeats):
     leader = coordinator_lib.Coordinator(
         place=place, make_group=group_lib.Group
     )
@@ -124,16 +124,16 @@
         leader.on_agent(name, where, 0.0)
         rank = engines.Rank(number, size)
         state = engines.Group(ranks=1).state(rank)
-        beat = messages.EngineBeat(
+        heartbeat = messages.EngineHeartbeat(
             service="s",
             address=name,
             term=1,
             state=state._replace(size=size),
-            choices=counter_lib.NO_CHOICES,
+            choices=expert_counts.NO_CHOICES,
             experts=rank.held_map,
         )
-        if beats:
-            leader.receive(name, beat, {"s": engines.ENGINE}, 0.0)
+        if with_heartbeats:
+            leader.receive(name, heartbeat, {"s": engines.ENGINE}, 0.0)
     context.near = {f"a{number}" for number in range(far, size)}
     context.counted = {act.dst for act in leader.tick(1.0) if act.msg.counted}
 
--- a/jasperweir/components/mapswitch/const.py
+++ b/jasperweir/components/mapswitch/const.py
@@ -13,10 +13,10 @@
 NEAR_READ_SECONDS = 0.1
 # Heartbeat interval of an agent that sends no counts, if nothing changes.
 QUIET_REPORT_SECONDS = 0.6
-# A change of pace by at least this much is reported at once.
-MIN_PACE_CHANGE = 0.1
+# A change of slowdown by at least this much is reported at once.
+MIN_SLOWDOWN_CHANGE = 0.1
 # Shortest window over which the time of a pass is measured, seconds.
-PACE_WINDOW_SECONDS = 0.25
+PASS_TIME_WINDOW_SECONDS = 0.25
 # Age from which a heartbeat is ignored, seconds.
 HEARTBEAT_MAX_AGE_SECONDS = 1.6
 # Time constant of the moving average of demand, seconds: the length of a
@@ -68,8 +68,8 @@
 # Interval at which the list of slow targets is sent again to the entries,
 # seconds; they keep it for four times as long.
 SLOW_TARGETS_RESEND_SECONDS = 0.5
-# Pace from which a target is reported to the entries as slow.
-SLOW_PACE = 1.15
+# Slowdown from which a target is reported to the entries as slow.
+SLOW_TARGET_SLOWDOWN = 1.15
 # Number of least loaded ranks that are considered for a further copy; bounds
 # the time of a plan.
 CANDIDATE_RANKS = 9
--- a/jasperweir/components/mapswitch/coordinator.py
+++ b/jasperweir/components/mapswitch/coordinator.py
@@ -79,9 +79,9 @@
         return self._term > 0
 
     @property
-    def planning(self) -> bool:
+    def is_planning(self) -> bool:
         """Whether a plan is being made."""
-        return any(group.planning for group in self._groups.values())
+        return any(group.is_planning for group in self._groups.values())
 
     def groups(self) -> list["group_lib.Group"]:
         """Return the groups known in this term."""
@@ -127,8 +127,8 @@
         if not self._is_leader_at(now):
             return []
         match msg:
-            case messages.EngineBeat():
-                return self._on_beat(src, msg, engines, now)
+            case messages.EngineHeartbeat():
+                return self._on_heartbeat(src, msg, engines, now)
             case messages.OrderResult():
                 out: Actions = []
                 for group in self._groups.values():
@@ -155,10 +155,10 @@
         """Return the targets that report to be slower than usual."""
         return messages.SlowTargets(
             targets=tuple(
-                messages.SlowTarget(m.beat.address, round(m.state.pace, 2))
+                messages.SlowTarget(m.heartbeat.address, round(m.state.pace, 2))
                 for group in self._groups.values()
                 for m in group.members.all()
-                if m.state.pace >= const.SLOW_PACE
+                if m.state.pace >= const.SLOW_TARGET_SLOWDOWN
             )
         )
 
@@ -202,10 +202,10 @@
         known = self._agents.get(agent)
         return known is None or known.place != self._place
 
-    def _on_beat(
+    def _on_heartbeat(
         self,
         src: str,
-        msg: messages.EngineBeat,
+        msg: messages.EngineHeartbeat,
         engines: dict[str, model.Engine],
         now: float,
     ) -> Actions:
--- a/jasperweir/components/mapswitch/demand.py
+++ b/jasperweir/components/mapswitch/demand.py
@@ -13,7 +13,7 @@
 import numpy.typing as npt
 
 from jasperweir.components.mapswitch import const
-from jasperweir.components.mapswitch import counter
+from jasperweir.components.mapswitch import expert_counts
 
 Floats = npt.NDArray[np.float64]
 
@@ -81,7 +81,9 @@
             return False
         return self.tokens >= const.MIN_DEMAND_CHOICES
 
-    def observe(self, choices: counter.Choices, now: float) -> Jump | None:
+    def observe(
+        self, choices: expert_counts.ExpertCounts, now: float
+    ) -> Jump | None:
         """Add the selections of one rank; return a jump if one is detected."""
         if not choices.counts:
             return None
--- a/jasperweir/components/mapswitch/counter.py
+++ b/jasperweir/components/mapswitch/expert_counts.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class Choices(NamedTuple):
+class ExpertCounts(NamedTuple):
     """Expert selections in the interval since the last read.
 
     Attributes:
@@ -16,10 +16,10 @@
     counts: tuple[int, ...]
 
 
-NO_CHOICES = Choices(seconds=0.0, counts=())
+NO_CHOICES = ExpertCounts(seconds=0.0, counts=())
 
 
-class Counter:
+class CountDiffer:
     """Computes the differences of an engine's cumulative counts.
 
     Differences take a third of the bytes of cumulative counts, and a lost one
@@ -34,7 +34,7 @@
         self._counts: tuple[int, ...] = ()
         self._at = 0.0
 
-    def take(self, counts: tuple[int, ...], now: float) -> Choices:
+    def update(self, counts: tuple[int, ...], now: float) -> ExpertCounts:
         """Return the selections between the last reading and this one.
 
         After a reading of another length or with a lower count the differences
@@ -51,4 +51,4 @@
         if min(new) < 0:
             self.dropped += 1
             return NO_CHOICES
-        return Choices(seconds=now - since, counts=new)
+        return ExpertCounts(seconds=now - since, counts=new)
--- a/jasperweir/components/mapswitch/group.py
+++ b/jasperweir/components/mapswitch/group.py
@@ -104,13 +104,13 @@
     # Inputs.
 
     def on_beat(
-        self, src: str, beat: messages.EngineBeat, now: float
+        self, src: str, heartbeat: messages.EngineHeartbeat, now: float
     ) -> Actions:
         """Handle a heartbeat, and take the step that waited for it."""
         member = self.members.find_by_agent(src)
         old = member.state if member is not None else None
-        self.members.on_beat(src, beat, now)
-        jump = self.demand.observe(beat.choices, now)
+        self.members.on_heartbeat(src, heartbeat, now)
+        jump = self.demand.observe(heartbeat.choices, now)
         if jump is not None:
             self._jumped_at = now
             # The current plan is based on outdated demand.
@@ -123,7 +123,7 @@
         if not self.busy or old is None:
             return []
         if members_lib.is_same_step(
-            old, beat.state
+            old, heartbeat.state
         ) or self._is_waiting_for_other(src):
             return []
         return self.tick(now)
@@ -209,7 +209,7 @@
         return self.phase is not Phase.IDLE
 
     @property
-    def planning(self) -> bool:
+    def is_planning(self) -> bool:
         """Whether a plan is being made."""
         return self._planner.active
 
@@ -287,7 +287,7 @@
             map_version=states[0].map_version,
             current=current,
             shares=shares,
-            paces=placement_search.clip_paces([s.pace for s in states]),
+            slowdowns=placement_search.clip_slowdowns([s.pace for s in states]),
             lasts_s=self.demand.expected_duration_s,
             switch_s=self._times.switch_s,
         )
--- a/jasperweir/components/mapswitch/members.py
+++ b/jasperweir/components/mapswitch/members.py
@@ -9,7 +9,7 @@
 from jasperweir.components.mapswitch import messages
 
 
-class PassPace(NamedTuple):
+class PassTime(NamedTuple):
     """Measures the time of a pass.
 
     Attributes:
@@ -22,21 +22,21 @@
     passes: int = 0
     since: float = float("-inf")
 
-    def updated(self, passes: int, now: float) -> "PassPace":
-        """Return the pace after a rank has reported a pass.
+    def updated(self, passes: int, now: float) -> "PassTime":
+        """Return the pass time after a rank has reported a pass.
 
         The measurement spans a minimum time, since two heartbeats in quick
         succession may report the same pass.
         """
         if passes < self.passes or self.since == float("-inf"):
-            return PassPace(self.seconds, passes, now)
+            return PassTime(self.seconds, passes, now)
         if (
-            now - self.since < const.PACE_WINDOW_SECONDS
+            now - self.since < const.PASS_TIME_WINDOW_SECONDS
             or passes == self.passes
         ):
             return self
         seconds = (now - self.since) / (passes - self.passes)
-        return PassPace(seconds, passes, now)
+        return PassTime(seconds, passes, now)
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
@@ -45,28 +45,28 @@
 
     Attributes:
         agent: Name of the agent on its VM.
-        beat: Newest heartbeat.
+        heartbeat: Newest heartbeat.
         heard_at: When the heartbeat arrived.
         state_fixed_until: Time until which heartbeats keep the state that an
             order left.
         pass_reported_at: When its newest pass was reported.
         reported_held: Pass that it holds by its last heartbeat or order result,
             also while heartbeats keep the state.
-        pace: Time of its passes.
+        pass_time: Time of its passes.
     """
 
     agent: str
-    beat: messages.EngineBeat
+    heartbeat: messages.EngineHeartbeat
     heard_at: float
     state_fixed_until: float = 0.0
     pass_reported_at: float = 0.0
     reported_held: int = 0
-    pace: PassPace = PassPace()
+    pass_time: PassTime = PassTime()
 
     @property
     def state(self) -> messages.EngineState:
         """State of the engine."""
-        return self.beat.state
+        return self.heartbeat.state
 
     def passes_since(self, now: float, pass_seconds: float) -> int:
         """Return how many passes may have begun since the last heartbeat."""
@@ -85,17 +85,19 @@
         # All members by rank; rebuilt when one is added or moves.
         self._ordered: list[Member] = []
 
-    def on_beat(self, src: str, beat: messages.EngineBeat, now: float) -> None:
+    def on_heartbeat(
+        self, src: str, heartbeat: messages.EngineHeartbeat, now: float
+    ) -> None:
         """Handle a heartbeat."""
-        member = self._by_rank.get(beat.state.rank)
+        member = self._by_rank.get(heartbeat.state.rank)
         if member is None:
-            member = Member(agent=src, beat=beat, heard_at=now)
-            self._by_rank[beat.state.rank] = member
+            member = Member(agent=src, heartbeat=heartbeat, heard_at=now)
+            self._by_rank[heartbeat.state.rank] = member
             self._rebuild_index()
         elif member.agent != src:
             member.agent = src
             self._rebuild_index()
-        self._update_member(member, beat, now)
+        self._update_member(member, heartbeat, now)
 
     def _rebuild_index(self) -> None:
         self._ordered = [self._by_rank[n] for n in sorted(self._by_rank)]
@@ -103,15 +105,15 @@
         self._by_agent = {m.agent: m for m in reversed(self._ordered)}
 
     def _update_member(
-        self, member: Member, beat: messages.EngineBeat, now: float
+        self, member: Member, heartbeat: messages.EngineHeartbeat, now: float
     ) -> None:
-        member.reported_held = beat.state.held
-        member.pace = member.pace.updated(beat.state.passes, now)
+        member.reported_held = heartbeat.state.held
+        member.pass_time = member.pass_time.updated(heartbeat.state.passes, now)
         member.heard_at = now
         if now < member.state_fixed_until:
-            member.beat = beat._replace(state=member.state)
+            member.heartbeat = heartbeat._replace(state=member.state)
             return
-        member.beat = beat
+        member.heartbeat = heartbeat
         member.state_fixed_until = 0.0
         member.pass_reported_at = now
 
@@ -124,7 +126,7 @@
             return
         if state.passes > member.state.passes:
             member.pass_reported_at = now
-        member.beat = member.beat._replace(state=state)
+        member.heartbeat = member.heartbeat._replace(state=state)
         member.reported_held = state.held
         member.state_fixed_until = now + const.ORDER_STATE_SECONDS
 
@@ -146,7 +148,7 @@
             return False
         return all(
             now - m.heard_at < const.HEARTBEAT_MAX_AGE_SECONDS
-            and m.beat.term == term
+            and m.heartbeat.term == term
             and m.state.is_open
             and m.state.epoch == first.epoch
             and m.state.size == first.size
@@ -169,7 +171,7 @@
 
     def placement(self) -> messages.Placement:
         """Return the experts in use, by set and rank."""
-        ranks = [member.beat.experts for member in self.all()]
+        ranks = [member.heartbeat.experts for member in self.all()]
         sets = min((len(r) for r in ranks), default=0)
         return tuple(
             tuple(rank[number] for rank in ranks) for number in range(sets)
@@ -188,7 +190,9 @@
 
     def pass_seconds(self) -> float:
         """Return the median time of a pass, 0 if unknown."""
-        times = [m.pace.seconds for m in self.all() if m.pace.seconds > 0]
+        times = [
+            m.pass_time.seconds for m in self.all() if m.pass_time.seconds > 0
+        ]
         return statistics.median(times) if times else 0.0
 
 
--- a/jasperweir/components/mapswitch/messages.py
+++ b/jasperweir/components/mapswitch/messages.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from jasperweir.components.mapswitch import counter
+from jasperweir.components.mapswitch import expert_counts
 from jasperweir.helpers import codec
 
 # Experts by set and rank: ``placement[set][rank]`` holds expert numbers.
@@ -126,7 +126,7 @@
 
 
 @codec.message("mapswitch.beat")
-class EngineBeat(NamedTuple):
+class EngineHeartbeat(NamedTuple):
     """Heartbeat of an agent with the state of its engine.
 
     Attributes:
@@ -144,7 +144,7 @@
     address: str
     term: int
     state: EngineState
-    choices: counter.Choices
+    choices: expert_counts.ExpertCounts
     experts: tuple[tuple[int, ...], ...]
 
 
--- a/jasperweir/components/mapswitch/orders.py
+++ b/jasperweir/components/mapswitch/orders.py
@@ -81,7 +81,7 @@
             number=next(self._numbers),
             term=self._term,
             epoch=epoch,
-            engine=member.beat.address,
+            engine=member.heartbeat.address,
             order=self._pack(order),
         )
         replaced = self._pending.get(member.agent)
--- a/jasperweir/components/mapswitch/placement_search.py
+++ b/jasperweir/components/mapswitch/placement_search.py
@@ -53,14 +53,14 @@
     return tuple(tuple(range(rank, experts, ranks)) for rank in range(ranks))
 
 
-def clip_paces(reported: list[float]) -> Floats:
+def clip_slowdowns(reported: list[float]) -> Floats:
     """Return the slowdown factor of each rank, with a lower bound."""
     return np.maximum(np.array(reported, dtype=np.float64), 0.1)
 
 
-def peak(held: Bools, shares: Floats, pace: Floats) -> float:
+def peak(held: Bools, shares: Floats, slowdown: Floats) -> float:
     """Return the slowest rank's time as a multiple of the mean load."""
-    loads = _loads(held, shares) * pace
+    loads = _loads(held, shares) * slowdown
     return float(loads.max() * len(loads))
 
 
@@ -85,16 +85,16 @@
         *,
         start: Bools,
         shares: Floats,
-        pace: Floats,
+        slowdown: Floats,
         places: int,
         spare: int,
     ) -> None:
         self.best = start.copy()
-        self.best_peak = peak(start, shares, pace)
+        self.best_peak = peak(start, shares, slowdown)
         self._start = start
         self._held = start.copy()
         self._shares = shares
-        self._pace = pace
+        self._slowdown = slowdown
         self._places = places
         self._spare = spare
         self._added = np.zeros(len(start), dtype=np.int64)
@@ -124,7 +124,7 @@
             if not self._start[move.rank, expert]:
                 self._added[move.rank] += 1 if holds else -1
                 copies_made[move.rank] += 1 if holds else -1
-        reached = peak(self._held, self._shares, self._pace)
+        reached = peak(self._held, self._shares, self._slowdown)
         if reached < self.best_peak - 1e-9:
             self.best, self.best_peak = self._held.copy(), reached
         return True
@@ -139,7 +139,7 @@
         relieved, so the search does not stop at a plateau of the peak.
         """
         loads = _loads(self._held, self._shares)
-        times = loads * self._pace
+        times = loads * self._slowdown
         slowest = int(times.argmax())
         copies = self._held.sum(axis=0)
         parts = self._shares / np.maximum(copies, 1)
@@ -152,7 +152,7 @@
                 self._shares[drop] / (copies[drop] - 1) - parts[drop]
             )
             after[slowest] = loads[slowest] - parts[drop]
-            value = _power_sum(after * self._pace)
+            value = _power_sum(after * self._slowdown)
             if value < best_value:
                 best_value, best = value, _Move(slowest, -1, int(drop))
         swaps = [
@@ -199,7 +199,7 @@
         lost = np.where(dropping, parts[drops], 0.0)
         after = base + self._held[:, drops].T * shared[:, None]
         after[np.arange(len(fit)), ranks] = base[ranks] + part - lost
-        values = ((after * self._pace) ** _TIME_EXPONENT).sum(axis=1)
+        values = ((after * self._slowdown) ** _TIME_EXPONENT).sum(axis=1)
         least = int(values.argmin())
         rank, drop = fit[least]
         return float(values[least]), _Move(rank, add, drop)
@@ -229,7 +229,7 @@
         *,
         start: tuple[Bools, ...],
         shares: Floats,
-        pace: Floats,
+        slowdown: Floats,
         places: int,
         spare: int,
     ) -> None:
@@ -238,7 +238,7 @@
         Args:
             start: Placement in use, by set, shape (ranks, experts).
             shares: Share of each expert, shape (sets, experts); rows sum to 1.
-            pace: Slowdown factor of each rank, shape (ranks,).
+            slowdown: Slowdown factor of each rank, shape (ranks,).
             places: Experts that a rank may hold in a set.
             spare: Experts that a rank may add to a set in one change.
         """
@@ -246,7 +246,7 @@
             _SetSearch(
                 start=held,
                 shares=row,
-                pace=pace,
+                slowdown=slowdown,
                 places=places,
                 spare=spare,
             )
@@ -254,7 +254,7 @@
         ]
         self.before = self._peak()
         self.stages: list[Stage] = []
-        self._copies_made = np.zeros(len(pace), dtype=np.int64)
+        self._copies_made = np.zeros(len(slowdown), dtype=np.int64)
         self._max_copies = 1
         self._copies_limit = spare * len(self._sets)
         self._exhausted_sets: set[int] = set()
--- a/jasperweir/components/mapswitch/planner.py
+++ b/jasperweir/components/mapswitch/planner.py
@@ -20,7 +20,7 @@
         map_version: Version of the map in use.
         current: Placement in use.
         shares: Share of each expert in its set, rows that sum to 1.
-        paces: Slowdown factor of each rank, shape (ranks,).
+        slowdowns: Slowdown factor of each rank, shape (ranks,).
         lasts_s: Time for which demand is expected to last, seconds.
         switch_s: Time of a switch without its copies, seconds.
     """
@@ -29,7 +29,7 @@
     map_version: int
     current: messages.Placement
     shares: placement_search.Floats
-    paces: placement_search.Floats
+    slowdowns: placement_search.Floats
     lasts_s: float = const.MAX_DEMAND_DURATION_SECONDS
     switch_s: float = const.INITIAL_SWITCH_SECONDS
 
@@ -86,7 +86,7 @@
                 for ranks in request.current
             ),
             shares=request.shares,
-            pace=request.paces,
+            slowdown=request.slowdowns,
             places=self._engine.places,
             spare=self._engine.spare,
         )
--- a/jasperweir/components/mapswitch/report_schedule.py
+++ b/jasperweir/components/mapswitch/report_schedule.py
@@ -32,15 +32,15 @@
         self._leader = ""
 
     def on_rate_request(
-        self, leader: str, ask: messages.ReportRateRequest
+        self, leader: str, request: messages.ReportRateRequest
     ) -> None:
         """Apply a leader's rate request."""
         if leader != self._leader:
             self._leader = leader
             self._last_reported = None
-        self.busy = ask.busy
-        self.counted = ask.counted
-        self.near = ask.near
+        self.busy = request.busy
+        self.counted = request.counted
+        self.near = request.near
 
     def is_read_due(self, now: float) -> bool:
         """Return whether to read the engine now, and record the read."""
@@ -66,7 +66,7 @@
         due = (
             old is None
             or not members.is_same_step(state, old)
-            or abs(state.pace - old.pace) >= const.MIN_PACE_CHANGE
+            or abs(state.pace - old.pace) >= const.MIN_SLOWDOWN_CHANGE
             or silence_s >= self._max_report_interval(state) - _EARLY_SECONDS
         )
         if due:
--- a/jasperweir/components/mapswitch/slow_news.py
+++ b/jasperweir/components/mapswitch/slow_target_notifier.py
@@ -4,7 +4,7 @@
 from jasperweir.components.mapswitch import messages
 
 
-class SlowNews:
+class SlowTargetNotifier:
     """Decides when the list of slow targets is sent to the entries."""
 
     def __init__(self) -> None:
--- a/jasperweir/daemons/site_agent.py
+++ b/jasperweir/daemons/site_agent.py
@@ -8,7 +8,7 @@
 from jasperweir.components.directory import records
 from jasperweir.components.follow import follower as follower_lib
 from jasperweir.components.mapswitch import const
-from jasperweir.components.mapswitch import counter as counter_lib
+from jasperweir.components.mapswitch import expert_counts
 from jasperweir.components.mapswitch import messages
 from jasperweir.components.mapswitch import order_executor
 from jasperweir.components.mapswitch import report_schedule
@@ -58,7 +58,7 @@
         )
         self._runner = order_executor.OrderExecutor()
         self._pacer = report_schedule.ReportSchedule()
-        self._counter = counter_lib.Counter()
+        self._counter = expert_counts.CountDiffer()
         self._reading = False
         self._leader = ""
         self._experts: tuple[tuple[int, ...], ...] = ()
@@ -143,7 +143,7 @@
                 return
             self._experts = self._dialect.placement(raw)
             self._experts_of = (state.epoch, state.map_version)
-        beat = messages.EngineBeat(
+        beat = messages.EngineHeartbeat(
             service=self._cfg.service,
             address=self._cfg.engine,
             term=term,
@@ -153,20 +153,20 @@
         )
         self._host.send(core.Send(dst=self._leader, msg=beat))
 
-    async def _choices(self) -> counter_lib.Choices:
+    async def _choices(self) -> expert_counts.ExpertCounts:
         """Return what the engine's requests chose since the last beat."""
         if not self._pacer.counted:
-            return counter_lib.NO_CHOICES
+            return expert_counts.NO_CHOICES
         raw = await self._engine.get(self._dialect.COUNTS_TARGET)
         if raw is None:
-            return counter_lib.NO_CHOICES
+            return expert_counts.NO_CHOICES
         try:
             counts = self._dialect.counts(raw)
         except ValueError as exc:
             _log.warning("counts cannot be read", reason=str(exc))
-            return counter_lib.NO_CHOICES
+            return expert_counts.NO_CHOICES
         before = self._counter.dropped
-        choices = self._counter.take(counts, self._host.now())
+        choices = self._counter.update(counts, self._host.now())
         if self._counter.dropped > before:
             self._host.metrics.inc("counts_dropped")
             _log.warning("counts make no sense", dropped=self._counter.dropped)
--- a/jasperweir/daemons/site_control.py
+++ b/jasperweir/daemons/site_control.py
@@ -18,7 +18,7 @@
 from jasperweir.components.mapswitch import coordinator as coordinator_lib
 from jasperweir.components.mapswitch import messages as mapswitch_messages
 from jasperweir.components.mapswitch import relays as relays_lib
-from jasperweir.components.mapswitch import slow_news as slow_news_lib
+from jasperweir.components.mapswitch import slow_target_notifier
 from jasperweir.components.quarantine import messages as quarantine_messages
 from jasperweir.components.quarantine import spread as spread_lib
 from jasperweir.components.quorum import actions
@@ -90,7 +90,7 @@
         self._nodes_at = 0.0
         # Whether a plan is to be gone on with before the next tick.
         self._plan_due = False
-        self._slow_news = slow_news_lib.SlowNews()
+        self._slow_news = slow_target_notifier.SlowTargetNotifier()
         # Commit index and directory digest that are written down.
         self._noted = (0, 0)
 
@@ -220,7 +220,7 @@
 
     def _plan_soon(self) -> None:
         """Go on with a plan before the next tick."""
-        if not self._coordinator.planning or self._plan_due:
+        if not self._coordinator.is_planning or self._plan_due:
             return
         self._plan_due = True
         loop = asyncio.get_running_loop()
@@ -255,7 +255,7 @@
             return
         now = self._host.now()
         match msg:
-            case mapswitch_messages.EngineBeat():
+            case mapswitch_messages.EngineHeartbeat():
                 acts = self._coordinator.receive(src, msg, self._engines, now)
             case mapswitch_messages.OrderResult():
                 acts = self._coordinator.receive(src, msg, self._engines, now)
--- a/script/guards.py
+++ b/script/guards.py
@@ -234,7 +234,7 @@
     Guard("a jump is seen once", C + "mapswitch/demand.py",
           "if now - self._counted_since < const.JUMP_COOLDOWN_SECONDS:",
           "if False:", "demand"),
-    Guard("counts that go back are dropped", C + "mapswitch/counter.py",
+    Guard("counts that go back are dropped", C + "mapswitch/expert_counts.py",
           "if min(new) < 0:", "if False:", "demand"),
     Guard("a late hold is found while ranks copy", C + "mapswitch/group.py",
           "if self.phase is Phase.PREPARING and self.members.any_held():",
