--- a/features/experts.feature
+++ b/features/experts.feature
@@ -1,6 +1,6 @@
-Feature: One expert map per step, moved cheaply
+Feature: Every step runs under one expert map, and plans make few moves
 
-  Scenario: Steps run and a switch brings the next map without a stall
+  Scenario: A switch takes effect without a stall
     Given a group of three hosts
     When 3 seconds pass in the group
     And the coordinator switches maps
@@ -17,7 +17,7 @@
     And 3 seconds pass in the group
     Then steps ran under 2 maps
 
-  Scenario: A map that cannot be loaded is given up and the old one goes on
+  Scenario: A map that cannot be loaded is aborted and the old one stays
     Given a group of three hosts
     When 3 seconds pass in the group
     And the weight store fails and the coordinator switches maps
@@ -25,51 +25,51 @@
     Then steps ran under 1 maps
     And steps go on
 
-  Scenario: A switch is overtaken by the next
+  Scenario: A pending switch is replaced by the next one
     Given a group of three hosts
     When 3 seconds pass in the group
     And the coordinator switches maps twice at once
     And 3 seconds pass in the group
     Then steps ran under 2 maps
 
-  Scenario: An old coordinator that believes in itself has no effect
+  Scenario: A replaced coordinator that still runs has no effect
     Given a group of three hosts
     When 3 seconds pass in the group
-    And another coordinator is appointed while the old one goes on
+    And another coordinator is appointed while the old one still runs
     And 3 seconds pass in the group
     And the old coordinator switches maps
     And 3 seconds pass in the group
     Then steps go on
     And the last step ran under the new coordinator
 
-  Scenario: A host that restarts with no memory is brought back
+  Scenario: A host that restarts without state rejoins the group
     Given a group of three hosts
     When 3 seconds pass in the group
-    And "h3" restarts with no memory
+    And "h3" restarts without state
     And 6 seconds pass in the group
     Then steps go on
 
-  Scenario Outline: Guard of grants
-    Then the grants' guard holds: <guard>
+  Scenario Outline: Rules of grants
+    Then the rule of grants holds: <rule>
 
     Examples:
-      | guard                                    |
+      | rule                                     |
       | a grant needs loaded weights             |
       | an old term has no effect                |
-      | a new map only when all hold it          |
+      | a new map needs all hosts to be prepared |
 
   Scenario: Random schedules keep one map per step
     Then 60 random schedules of 40 events keep one map per step
 
-  Scenario: Every prefix of a plan is valid, within slots and budget
+  Scenario: Each expert keeps a copy after every move of a plan, within the budget
     Then 40 random plans keep a copy of each expert after every move
 
-  Scenario: The bundle's weight trades skew for moves
-    When the same drift is planned for both users
+  Scenario: The bundle's weight balances skew against moves
+    When plans for the same drift are made with both users' weights
     Then the Association's skew is not above Notograf's
     And Notograf's moves are fewer
 
-  Scenario: A straggler rank is told from a loaded one and gets less
-    When rank 2 is slow and rank 5 carries twice the load
-    Then only rank 2 is called a straggler
+  Scenario: A straggler is distinguished from a loaded rank and gets less load
+    When rank 2 is slow and rank 5 has twice the load
+    Then only rank 2 is a straggler
     And the plan gives rank 2 less load than the others
--- a/features/harness/ranks.py
+++ b/features/harness/ranks.py
@@ -1,12 +1,12 @@
-"""A group's coordinators and guards with a bad network between them."""
+"""Simulated group of coordinators and hosts on an unreliable network."""
 
 import random
 
 from jasperweir import core
 from jasperweir.components.experts import coordinator as coordinator_lib
-from jasperweir.components.experts import guard as guard_lib
 from jasperweir.components.experts import maps
 from jasperweir.components.experts import messages
+from jasperweir.components.experts import step_gate
 
 STEP = 0.1
 HOSTS = ("h1", "h2", "h3")
@@ -18,20 +18,20 @@
 
 
 class Ranks:
-    """Hosts that step in lock-step as far as their grants allow.
+    """Hosts that run steps in lock-step as far as their grants allow.
 
-    After every event each step's map is compared over all hosts.
+    Each step asserts that all hosts run it under the same map.
     """
 
     def __init__(self, seed: int = 0) -> None:
         self.now = 0.0
         self.rng = random.Random(seed)
-        self.guards = {n: guard_lib.Guard(group="g") for n in HOSTS}
+        self.gates = {n: step_gate.StepGate(group="g") for n in HOSTS}
         self.coordinators: dict[str, coordinator_lib.Coordinator] = {}
         self.queue: list = []
-        self.held_back: list = []
+        self.duplicates: list = []
         self.cut: set[str] = set()
-        self.loss = self.double = 0.0
+        self.loss = self.duplication = 0.0
         self.store_fails = False
         self.tap = None
         self.frozen: set[str] = set()
@@ -40,7 +40,7 @@
         self.appoint("c1", 1)
 
     def appoint(self, name: str, term: int) -> None:
-        """Appoint a coordinator; an older one may still believe in itself."""
+        """Appoint a coordinator; an older one may still run."""
         self.coordinators[name] = coordinator_lib.Coordinator(
             group="g",
             term=term,
@@ -51,14 +51,14 @@
         )
 
     def cut_pair(self, one: str, two: str) -> None:
-        self.cut.add(two if two in self.guards else one)
+        self.cut.add(two if two in self.gates else one)
 
     def kill(self, name: str) -> None:
-        """Take a process's memory; a coordinator is replaced."""
-        if name in self.guards:
-            done = self.guards[name].done
-            self.guards[name] = guard_lib.Guard(group="g")
-            self.guards[name].done = done
+        """Restart a host without state, or replace a coordinator."""
+        if name in self.gates:
+            done = self.gates[name].done
+            self.gates[name] = step_gate.StepGate(group="g")
+            self.gates[name].done = done
             return
         if name not in self.coordinators:
             return
@@ -70,9 +70,9 @@
         lead = self.coordinators[name]
         newest = lead.pending.version if lead.pending else lead.version
         new = small_map(maps.next_version(lead.term, newest))
-        self.post(name, lead.switch(new, self.now))
+        self.perform(name, lead.start_switch(new, self.now))
 
-    def post(self, src: str, acts: list) -> None:
+    def perform(self, src: str, acts: list) -> None:
         for act in acts:
             match act:
                 case core.Send():
@@ -85,20 +85,20 @@
                     ):
                         continue
                     self.queue.append((src, act.dst, act.msg))
-                    if self.rng.random() < self.double:
-                        self.held_back.append((src, act.dst, act.msg))
-                case guard_lib.Load():
+                    if self.rng.random() < self.duplication:
+                        self.duplicates.append((src, act.dst, act.msg))
+                case step_gate.LoadWeights():
                     ok = not self.store_fails
-                    self.post(
+                    self.perform(
                         src,
-                        self.guards[src].loaded(
+                        self.gates[src].on_weights_loaded(
                             act.map.version, ok, act.coordinator
                         ),
                     )
-                case guard_lib.Allow():
-                    self.note(act.grant)
+                case step_gate.AllowSteps():
+                    self.check_grant(act.grant)
 
-    def note(self, grant: messages.Grant) -> None:
+    def check_grant(self, grant: messages.Grant) -> None:
         for step in range(grant.first, grant.last + 1):
             known = self.granted.setdefault(step, grant.version)
             assert known == grant.version, f"step {step}: two maps granted"
@@ -109,7 +109,7 @@
             for name, lead in self.coordinators.items():
                 if name in self.frozen:
                     continue
-                self.post(name, lead.tick(self.now))
+                self.perform(name, lead.tick(self.now))
             for _ in range(4):
                 self.deliver()
             for _ in range(3):
@@ -118,40 +118,40 @@
     def deliver(self) -> None:
         pending, self.queue = self.queue, []
         self.rng.shuffle(pending)
-        if self.held_back and self.rng.random() < 0.3:
-            pending.append(self.held_back.pop(0))
+        if self.duplicates and self.rng.random() < 0.3:
+            pending.append(self.duplicates.pop(0))
         for src, dst, msg in pending:
             if dst in self.cut:
                 continue
             if dst in self.frozen:
                 self.queue.append((src, dst, msg))
                 continue
-            if dst in self.guards:
-                self.post(dst, self.guards[dst].receive(src, msg))
+            if dst in self.gates:
+                self.perform(dst, self.gates[dst].receive(src, msg))
             elif dst in self.coordinators:
                 lead = self.coordinators[dst]
-                self.post(dst, lead.receive(src, msg, self.now))
+                self.perform(dst, lead.receive(src, msg, self.now))
 
     def step(self) -> None:
-        """Run one step if every rank may, and check the maps.
+        """Run one step if all hosts have a grant for it, and check the maps.
 
-        Ranks agree on the highest step that any of them wants, as the
-        stand-in's do: a host that lost its memory misses part of a window.
+        Hosts agree on the highest of their next steps, as the stand-in does: a
+        host that restarted may lack the start of a window.
         """
-        nexts = [self.next_of(g) for g in self.guards.values()]
+        nexts = [self.next_step(g) for g in self.gates.values()]
         if None in nexts:
             return
         step = max(nexts)
-        versions = {g.version_for(step) for g in self.guards.values()}
+        versions = {g.find_version(step) for g in self.gates.values()}
         if None in versions:
             return
         assert len(versions) == 1, f"step {step} under maps {versions}"
         self.ran[step] = versions.pop()
-        for name, guard in self.guards.items():
-            self.post(name, guard.ran(step))
+        for name, gate in self.gates.items():
+            self.perform(name, gate.on_step_done(step))
 
-    def next_of(self, guard: guard_lib.Guard) -> int | None:
-        if guard.version_for(guard.done + 1) is not None:
-            return guard.done + 1
-        later = [g.first for g in guard._grants if g.first > guard.done]
+    def next_step(self, gate: step_gate.StepGate) -> int | None:
+        if gate.find_version(gate.done + 1) is not None:
+            return gate.done + 1
+        later = [g.first for g in gate._grants if g.first > gate.done]
         return min(later, default=None)
--- a/features/steps/experts_steps.py
+++ b/features/steps/experts_steps.py
@@ -13,11 +13,11 @@
 from features.harness import draws
 from features.harness import ranks
 from jasperweir.components.experts import const
-from jasperweir.components.experts import guard as guard_lib
 from jasperweir.components.experts import messages
 from jasperweir.components.experts import placement
 from jasperweir.components.experts import planner
 from jasperweir.components.experts import popularity
+from jasperweir.components.experts import step_gate
 from jasperweir.components.experts import stragglers
 
 
@@ -53,7 +53,7 @@
 
 
 @when("the cut in the group heals")
-def heal(context):
+def heal_cut(context):
     context.ranks.cut.clear()
 
 
@@ -63,16 +63,16 @@
     context.ranks.switch("c1")
 
 
-@when("another coordinator is appointed while the old one goes on")
-def second(context):
+@when("another coordinator is appointed while the old one still runs")
+def appoint_second(context):
     context.ranks.appoint("c2", 2)
 
 
-@when('"{name}" restarts with no memory')
+@when('"{name}" restarts without state')
 def restart(context, name):
-    context.ranks.guards[name] = guard_lib.Guard(group="g")
+    context.ranks.gates[name] = step_gate.StepGate(group="g")
     done = max(context.ranks.ran)
-    context.ranks.guards[name].done = done
+    context.ranks.gates[name].done = done
 
 
 @then("steps ran under {count:d} maps")
@@ -81,19 +81,19 @@
 
 
 @then("no step ran for the last {seconds:d} seconds")
-def stalled(context, seconds):
+def no_step_ran(context, seconds):
     assert len(context.ranks.ran) == context.stalled_at
 
 
 @then("steps go on")
-def going(context):
+def steps_continue(context):
     before = len(context.ranks.ran)
     context.ranks.run(1)
     assert len(context.ranks.ran) > before
 
 
 @then("the last step ran under the new coordinator")
-def new_lead(context):
+def last_step_under_new(context):
     last = max(context.ranks.ran)
     assert last >> const.STEP_BITS == 2, last
 
@@ -124,13 +124,13 @@
             case "heal":
                 scene.cut.clear()
             case "lossy":
-                scene.loss = scene.double = 0.3
+                scene.loss = scene.duplication = 0.3
             case "clean":
-                scene.loss = scene.double = 0.0
+                scene.loss = scene.duplication = 0.0
             case "restart":
-                done = scene.guards[host].done
-                scene.guards[host] = guard_lib.Guard(group="g")
-                scene.guards[host].done = done
+                done = scene.gates[host].done
+                scene.gates[host] = step_gate.StepGate(group="g")
+                scene.gates[host].done = done
             case "appoint" if terms < 4:
                 terms += 1
                 scene.appoint(f"c{terms}", terms)
@@ -165,7 +165,7 @@
 def check_plan(seed, size, budget, weight):
     rng = np.random.default_rng(seed)
     experts = 10
-    slots = placement.initial(*size, experts)
+    slots = placement.initial_slots(*size, experts)
     shares = rng.dirichlet(np.full(experts, 0.4))
     old = placement.Layer(slots, placement.even_split(slots, experts))
     plan = planner.plan(
@@ -180,20 +180,20 @@
     for _, move in plan.moves:
         assert now[move.rank, move.slot] == move.replaces
         now[move.rank, move.slot] = move.expert
-        assert (placement.copies(now, experts) > 0).all()
+        assert (placement.count_copies(now, experts) > 0).all()
     assert (now == plan.layers[0].slots).all()
     total = np.bincount(now.ravel(), plan.layers[0].split.ravel(), experts)
     assert np.allclose(total, 1)
     assert plan.after[0] <= plan.before[0] + 1e-9
 
 
-@when("the same drift is planned for both users")
+@when("plans for the same drift are made with both users' weights")
 def both_users(context):
     context.results = {}
     for weight in (0.1, 0.9):
         rng = np.random.default_rng(5)
         logits = rng.normal(0, 1, (1, 32))
-        slots = placement.initial(8, 6, 32)
+        slots = placement.initial_slots(8, 6, 32)
         layers = (placement.Layer(slots, placement.even_split(slots, 32)),)
         estimate = popularity.Popularity(layers=1, experts=32)
         skews, moves = [], 0
@@ -224,25 +224,25 @@
     assert context.results[0.1][1] < context.results[0.9][1]
 
 
-@when("rank {slow:d} is slow and rank {full:d} carries twice the load")
-def slow_rank(context, slow, full):
-    context.speeds = stragglers.Speeds(ranks=8)
+@when("rank {slow:d} is slow and rank {loaded:d} has twice the load")
+def slow_rank(context, slow, loaded):
+    context.speeds = stragglers.SpeedEstimator(ranks=8)
     loads = np.ones(8)
-    loads[full] = 2.0
+    loads[loaded] = 2.0
     seconds = loads.copy()
     seconds[slow] = 2.0
     for _ in range(60):
         context.speeds.observe(seconds, loads)
 
 
-@then("only rank {slow:d} is called a straggler")
+@then("only rank {slow:d} is a straggler")
 def only_slow(context, slow):
     assert context.speeds.stragglers == [slow]
 
 
 @then("the plan gives rank {slow:d} less load than the others")
 def gives_less(context, slow):
-    slots = placement.initial(8, 4, 16)
+    slots = placement.initial_slots(8, 4, 16)
     layer = placement.Layer(slots, placement.even_split(slots, 16))
     shares = np.full((1, 16), 1 / 16)
     plan = planner.plan(
@@ -252,28 +252,28 @@
     assert work[slow] < 0.7 * np.delete(work, slow).min(), work
 
 
-def unloaded():
-    guard = guard_lib.Guard(group="g")
-    out = guard.receive("c", messages.Grant("g", 1, 5, 1, 8))
+def check_unloaded_weights():
+    gate = step_gate.StepGate(group="g")
+    out = gate.receive("c", messages.Grant("g", 1, 5, 1, 8))
     assert [a.msg.ok for a in out] == [False]
-    assert guard.version_for(1) is None
+    assert gate.find_version(1) is None
 
 
-def old_term():
-    guard = guard_lib.Guard(group="g")
-    guard.loaded(5, True, "c")
-    guard.receive("c2", messages.Seal("g", 2))
-    assert guard.receive("c1", messages.Grant("g", 1, 5, 1, 8)) == []
-    assert guard.version_for(1) is None
+def check_old_term():
+    gate = step_gate.StepGate(group="g")
+    gate.on_weights_loaded(5, True, "c")
+    gate.receive("c2", messages.Seal("g", 2))
+    assert gate.receive("c1", messages.Grant("g", 1, 5, 1, 8)) == []
+    assert gate.find_version(1) is None
 
 
-def all_hold():
+def check_all_prepared():
     scene = ranks.Ranks()
     scene.run(3)
     lead = scene.coordinators["c1"]
     old = lead.version
     new = ranks.small_map(old + 1)
-    lead.switch(new, scene.now)
+    lead.start_switch(new, scene.now)
     ok = messages.Prepared("g", 1, new.version, True)
     for host in ranks.HOSTS[:2]:
         lead.receive(host, ok, scene.now)
@@ -285,13 +285,13 @@
     assert lead._grant.last > last and lead._grant.version == old
 
 
-GRANT_GUARDS = {
-    "a grant needs loaded weights": unloaded,
-    "an old term has no effect": old_term,
-    "a new map only when all hold it": all_hold,
+GRANT_RULES = {
+    "a grant needs loaded weights": check_unloaded_weights,
+    "an old term has no effect": check_old_term,
+    "a new map needs all hosts to be prepared": check_all_prepared,
 }
 
 
-@then("the grants' guard holds: {guard}")
-def grant_guard(context, guard):
-    GRANT_GUARDS[guard]()
+@then("the rule of grants holds: {rule}")
+def grant_rule(context, rule):
+    GRANT_RULES[rule]()
--- a/jasperweir/components/agent/engine.py
+++ b/jasperweir/components/agent/engine.py
@@ -10,8 +10,8 @@
 
 from jasperweir import core
 from jasperweir.components.experts import group as group_lib
-from jasperweir.components.experts import guard as guard_lib
 from jasperweir.components.experts import messages
+from jasperweir.components.experts import step_gate
 from jasperweir.helpers import codec
 
 POLL_SECONDS = 0.25
@@ -61,24 +61,24 @@
         """Carry out what the group asks of its engine."""
         for act in acts:
             match act:
-                case guard_lib.Allow():
+                case step_gate.AllowSteps():
                     grant = act.grant
                     body = (
                         f'{{"version": {grant.version}, '
                         f'"first": {grant.first}, "last": {grant.last}}}'
                     )
                     self._queue.put(("/grants", body.encode()))
-                case guard_lib.Clear():
+                case step_gate.RevokeGrants():
                     self._queue.put(("/clear", b"{}"))
-                case guard_lib.Drop():
+                case step_gate.UnloadWeights():
                     body = f'{{"version": {act.version}}}'
                     self._queue.put(("/drop", body.encode()))
-                case guard_lib.Load():
+                case step_gate.LoadWeights():
                     self._load(act)
                 case core.Send():
                     continue
 
-    def _load(self, act: guard_lib.Load) -> None:
+    def _load(self, act: step_gate.LoadWeights) -> None:
         if act.map.version in self._loading:
             return
         self._loading.add(act.map.version)
@@ -92,7 +92,9 @@
         def loaded() -> None:
             self._loading.discard(new.version)
             guard = self._group.guard
-            self._perform_all(guard.loaded(new.version, ok, coordinator))
+            self._perform_all(
+                guard.on_weights_loaded(new.version, ok, coordinator)
+            )
 
         self._call(loaded)
 
@@ -123,7 +125,7 @@
         if not self._known:
             shape = self._get("/group")
             self._call(
-                lambda: self._group.shape(
+                lambda: self._group.set_shape(
                     group_lib.Shape(
                         layers=shape["layers"],
                         ranks=shape["ranks"],
@@ -142,8 +144,8 @@
     def _observe(self, report: dict[str, Any]) -> None:
         done = int(report["done"])
         if done < self._group.guard.done:
-            self._group.guard.engine_restarted()
-        self._perform_all(self._group.guard.ran(done))
+            self._group.guard.on_engine_restart()
+        self._perform_all(self._group.guard.on_step_done(done))
         if self._group.coordinator is None:
             return
         self._group.observe(
--- a/jasperweir/components/agent/node.py
+++ b/jasperweir/components/agent/node.py
@@ -58,8 +58,8 @@
         bundle = self.replica.bundle
         if self.group is None or bundle is None:
             return []
-        weights = group_lib.Weights(*bundle.experts)
-        out = self.group.follow(
+        weights = group_lib.ExpertSettings(*bundle.experts)
+        out = self.group.apply_appointment(
             self.replica.appointment(self.group.name),
             self.announcer.member.inc,
             tuple(peer.name for peer in self.announcer.group),
--- a/jasperweir/components/experts/coordinator.py
+++ b/jasperweir/components/experts/coordinator.py
@@ -20,12 +20,12 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Host:
+class HostState:
     """What the coordinator knows of one host."""
 
     sealed: bool = False
     current: messages.Map | None = None
-    last: int = 0
+    last_granted: int = 0
     done: int = 0
     heard_at: float = float("-inf")
     prepared: set[int] = dataclasses.field(default_factory=set)
@@ -64,14 +64,14 @@
         self.pending: messages.Map | None = None
         self.switches = 0
         self.aborts = 0
-        self._hosts = {name: Host() for name in hosts}
+        self._hosts = {name: HostState() for name in hosts}
         self._map = first_map
         self._window = window
         self._grant: messages.Grant | None = None
-        self._next_first = (term << const.STEP_BITS) + 1
+        self._next_step = (term << const.STEP_BITS) + 1
         self._sent_at = float("-inf")
-        self._prepare_since = now
-        self._released = 0
+        self._prepare_started_at = now
+        self._released_version = 0
 
     @property
     def map(self) -> messages.Map:
@@ -88,7 +88,7 @@
         """Last step that every host has run."""
         return min((h.done for h in self._hosts.values()), default=0)
 
-    def silent(self, now: float) -> list[str]:
+    def silent_hosts(self, now: float) -> list[str]:
         """Return hosts that have not answered for long."""
         return [
             name
@@ -96,23 +96,23 @@
             if now - host.heard_at >= const.HOST_LOST_SECONDS
         ]
 
-    def switch(self, new: messages.Map, now: float) -> Actions:
+    def start_switch(self, new: messages.Map, now: float) -> Actions:
         """Begin to load a map; one still being loaded is overtaken."""
         if self.phase != Phase.RUNNING or new.version <= self.version:
             return []
-        out = self._abort()
+        out = self._abort_switch()
         self.pending = new
-        self._prepare_since = now
-        return out + self._resend_prepare(new)
+        self._prepare_started_at = now
+        return out + self._send_prepare(new)
 
-    def rehost(self, hosts: tuple[str, ...]) -> Actions:
+    def replace_hosts(self, hosts: tuple[str, ...]) -> Actions:
         """Form the group anew with other hosts, in the same term.
 
         Steps go on where the granted ones end, since a host that is left
         out may still hold grants up to there.
         """
-        out = self._abort()
-        self._hosts = {name: Host() for name in hosts}
+        out = self._abort_switch()
+        self._hosts = {name: HostState() for name in hosts}
         self._grant = None
         self.phase = Phase.SEALING
         return out
@@ -128,13 +128,13 @@
                 waiting = [n for n, h in self._hosts.items() if not h.sealed]
                 return [core.Send(dst=name, msg=seal) for name in waiting]
             case Phase.LOADING:
-                return self._resend_prepare(self._map)
+                return self._send_prepare(self._map)
         out = self._resend_grant(now)
         if self.pending is not None:
-            if now - self._prepare_since >= const.PREPARE_SECONDS:
-                return out + self._abort()
-            out += self._resend_prepare(self.pending)
-        return out + self._advance()
+            if now - self._prepare_started_at >= const.PREPARE_TIMEOUT_SECONDS:
+                return out + self._abort_switch()
+            out += self._send_prepare(self.pending)
+        return out + self._grant_if_due()
 
     def receive(self, src: str, msg: Any, now: float) -> Actions:
         """Handle a host's answer."""
@@ -153,7 +153,7 @@
 
     # Sealing: learn what was granted before.
 
-    def _on_sealed(self, host: Host, msg: messages.Sealed) -> Actions:
+    def _on_sealed(self, host: HostState, msg: messages.Sealed) -> Actions:
         if self.phase != Phase.SEALING:
             return []
         host.sealed = True
@@ -163,7 +163,7 @@
             return []
         self._adopt_map()
         self.phase = Phase.LOADING
-        return self._resend_prepare(self._map) + self._loaded()
+        return self._send_prepare(self._map) + self._start_if_loaded()
 
     def _adopt_map(self) -> None:
         """Go on with the newest map that any host ran, if it still fits."""
@@ -172,7 +172,7 @@
         if newest is not None and newest.shape == self._map.shape:
             self._map = newest
 
-    def _resend_prepare(self, new: messages.Map) -> Actions:
+    def _send_prepare(self, new: messages.Map) -> Actions:
         msg = messages.Prepare(group=self.group, term=self.term, map=new)
         return [
             core.Send(dst=name, msg=msg)
@@ -180,7 +180,7 @@
             if new.version not in host.prepared
         ]
 
-    def _loaded(self) -> Actions:
+    def _start_if_loaded(self) -> Actions:
         """Begin to grant once every host holds the first map."""
         version = self._map.version
         if not self._all_prepared(version):
@@ -188,21 +188,21 @@
         self.phase = Phase.RUNNING
         self.version = version
         self.switches += 1
-        return self._next_window()
+        return self._grant_window()
 
     # Windows.
 
     def _on_granted(
-        self, src: str, host: Host, msg: messages.Granted
+        self, src: str, host: HostState, msg: messages.Granted
     ) -> Actions:
         host.done = max(host.done, msg.done)
         if msg.ok:
-            host.last = max(host.last, msg.last)
-            return self._advance()
+            host.last_granted = max(host.last_granted, msg.last)
+            return self._grant_if_due()
         if self._grant is not None and msg.last == self._grant.last:
             # The host has restarted and knows nothing: load the map again.
             host.prepared.discard(self.version)
-            host.last = 0
+            host.last_granted = 0
             return [
                 core.Send(
                     dst=src,
@@ -225,11 +225,11 @@
         return [
             core.Send(dst=name, msg=grant)
             for name, host in self._hosts.items()
-            if host.last < grant.last
-            or now - host.heard_at >= const.REFRESH_SECONDS
+            if host.last_granted < grant.last
+            or now - host.heard_at >= const.GRANT_REFRESH_SECONDS
         ]
 
-    def _advance(self) -> Actions:
+    def _grant_if_due(self) -> Actions:
         """Grant the next window as soon as the ranks have begun this one.
 
         So the ranks hold two windows at most, and never wait for a grant
@@ -237,14 +237,14 @@
         """
         if self.phase != Phase.RUNNING or self._grant is None:
             return []
-        held = min(h.last for h in self._hosts.values())
+        held = min(h.last_granted for h in self._hosts.values())
         if held < self._grant.last:
             return []
         if self.done < self._grant.first:
             return []
-        return self._release() + self._next_window()
+        return self._send_release() + self._grant_window()
 
-    def _next_window(self) -> Actions:
+    def _grant_window(self) -> Actions:
         pending = self.pending
         if pending is not None and self._all_prepared(pending.version):
             self.version = pending.version
@@ -255,20 +255,20 @@
             group=self.group,
             term=self.term,
             version=self.version,
-            first=self._next_first,
-            last=self._next_first + self._window - 1,
+            first=self._next_step,
+            last=self._next_step + self._window - 1,
         )
-        self._next_first = self._grant.last + 1
-        return self._to_all(self._grant)
+        self._next_step = self._grant.last + 1
+        return self._send_to_all(self._grant)
 
-    def _release(self) -> Actions:
+    def _send_release(self) -> Actions:
         """Let old weights go once every host runs under the new map."""
-        if self._grant is None or self._released == self.version:
+        if self._grant is None or self._released_version == self.version:
             return []
         if self.done < self._grant.first:
             return []
-        self._released = self.version
-        return self._to_all(
+        self._released_version = self.version
+        return self._send_to_all(
             messages.Release(
                 group=self.group, term=self.term, version=self.version
             )
@@ -276,17 +276,17 @@
 
     # Maps.
 
-    def _on_prepared(self, host: Host, msg: messages.Prepared) -> Actions:
+    def _on_prepared(self, host: HostState, msg: messages.Prepared) -> Actions:
         if msg.ok:
             host.prepared.add(msg.version)
             if self.phase == Phase.LOADING:
-                return self._loaded()
+                return self._start_if_loaded()
             return []
         if self.pending is not None and msg.version == self.pending.version:
-            return self._abort()
+            return self._abort_switch()
         return []
 
-    def _abort(self) -> Actions:
+    def _abort_switch(self) -> Actions:
         if self.pending is None:
             return []
         version = self.pending.version
@@ -294,12 +294,12 @@
         self.aborts += 1
         for host in self._hosts.values():
             host.prepared.discard(version)
-        return self._to_all(
+        return self._send_to_all(
             messages.Abort(group=self.group, term=self.term, version=version)
         )
 
     def _all_prepared(self, version: int) -> bool:
         return all(version in h.prepared for h in self._hosts.values())
 
-    def _to_all(self, msg: Any) -> Actions:
+    def _send_to_all(self, msg: Any) -> Actions:
         return [core.Send(dst=name, msg=msg) for name in self._hosts]
--- a/jasperweir/components/experts/group.py
+++ b/jasperweir/components/experts/group.py
@@ -7,20 +7,20 @@
 
 from jasperweir.components.experts import const
 from jasperweir.components.experts import coordinator as coordinator_lib
-from jasperweir.components.experts import guard as guard_lib
 from jasperweir.components.experts import maps
 from jasperweir.components.experts import messages
 from jasperweir.components.experts import placement
 from jasperweir.components.experts import planner
 from jasperweir.components.experts import popularity as popularity_lib
+from jasperweir.components.experts import step_gate
 from jasperweir.components.experts import stragglers
 from jasperweir.components.registry import ops
 from jasperweir.helpers import metrics as metrics_lib
 
 Actions = list[Any]
-COMPARE_BUDGET = 64
+_COMPARE_BUDGET = 64
 
-_TO_COORDINATOR = (messages.Sealed, messages.Prepared, messages.Granted)
+_COORDINATOR_MESSAGES = (messages.Sealed, messages.Prepared, messages.Granted)
 
 
 class Shape(NamedTuple):
@@ -32,7 +32,7 @@
     experts: int
 
 
-class Choice(NamedTuple):
+class WeightOutcome(NamedTuple):
     """What one weight of skew against moves would do now."""
 
     skew_weight: float
@@ -41,7 +41,7 @@
     moves: int
 
 
-class Weights(NamedTuple):
+class ExpertSettings(NamedTuple):
     """What the bundle says of experts."""
 
     skew_weight: float
@@ -62,20 +62,20 @@
         self, *, name: str, own: str, metrics: metrics_lib.Metrics
     ) -> None:
         self.name = name
-        self.guard = guard_lib.Guard(group=name)
+        self.guard = step_gate.StepGate(group=name)
         self.coordinator: coordinator_lib.Coordinator | None = None
         self.moves = 0
         self.planned_skew = 0.0
-        self._own = own
+        self._own_name = own
         self._metrics = metrics
         self._shape: Shape | None = None
         self._popularity: popularity_lib.Popularity | None = None
-        self._speeds: stragglers.Speeds | None = None
+        self._speeds: stragglers.SpeedEstimator | None = None
         self._planned_at = 0.0
-        self._budget = 0.0
+        self._move_budget = 0.0
         self._last_version = 0
 
-    def shape(self, shape: Shape) -> None:
+    def set_shape(self, shape: Shape) -> None:
         """Learn the group's size from the engine."""
         if shape == self._shape:
             return
@@ -83,23 +83,23 @@
         self._popularity = popularity_lib.Popularity(
             layers=shape.layers, experts=shape.experts
         )
-        self._speeds = stragglers.Speeds(ranks=shape.ranks)
+        self._speeds = stragglers.SpeedEstimator(ranks=shape.ranks)
 
-    def follow(
+    def apply_appointment(
         self,
         appointment: ops.Appointment | None,
-        inc: int,
+        incarnation: int,
         hosts: tuple[str, ...],
-        weights: Weights,
+        settings: ExpertSettings,
         now: float,
     ) -> Actions:
         """Become, stay or cease to be the coordinator."""
-        mine = (
+        is_appointed = (
             appointment is not None
-            and appointment.coordinator == self._own
-            and appointment.incarnation == inc
+            and appointment.coordinator == self._own_name
+            and appointment.incarnation == incarnation
         )
-        if not mine or self._shape is None or not hosts:
+        if not is_appointed or self._shape is None or not hosts:
             self.coordinator = None
             return []
         assert appointment is not None
@@ -109,31 +109,33 @@
                 # A host that merely fell silent may come back; only hosts
                 # that join make the group form anew.
                 return []
-            return current.rehost(hosts)
-        first = self._first_map(appointment.term)
+            return current.replace_hosts(hosts)
+        first = self._initial_map(appointment.term)
         self.coordinator = coordinator_lib.Coordinator(
             group=self.name,
             term=appointment.term,
             hosts=hosts,
             first_map=first,
-            window=weights.grant_steps,
+            window=settings.grant_steps,
             now=now,
         )
         return []
 
-    def tick(self, weights: Weights, now: float) -> Actions:
+    def tick(self, settings: ExpertSettings, now: float) -> Actions:
         """Let time pass; plan when it is due."""
         if self.coordinator is None:
             return []
         out = self.coordinator.tick(now)
-        if now - self._planned_at >= const.PLAN_SECONDS:
-            elapsed = min(now - self._planned_at, const.PLAN_SECONDS * 2)
-            self._budget = min(
-                self._budget + elapsed * weights.store_moves_per_s,
-                weights.store_moves_per_s * const.PREPARE_SECONDS,
+        if now - self._planned_at >= const.PLAN_INTERVAL_SECONDS:
+            elapsed = min(
+                now - self._planned_at, const.PLAN_INTERVAL_SECONDS * 2
+            )
+            self._move_budget = min(
+                self._move_budget + elapsed * settings.store_moves_per_s,
+                settings.store_moves_per_s * const.PREPARE_TIMEOUT_SECONDS,
             )
             self._planned_at = now
-            out += self._plan(weights, now)
+            out += self._plan(settings, now)
         return out
 
     def observe(
@@ -150,53 +152,61 @@
         if seconds.shape == loads.shape:
             self._speeds.observe(seconds, loads)
 
-    def compare(self, skew_weights: tuple[float, ...]) -> list[Choice]:
+    def compare_weights(
+        self, skew_weights: tuple[float, ...]
+    ) -> list[WeightOutcome]:
         """Return what each weight would do now, side by side.
 
         Only the coordinator knows; elsewhere the list is empty.
         """
-        lead = self.coordinator
-        if lead is None or self._popularity is None or self._shape is None:
+        coordinator = self.coordinator
+        if (
+            coordinator is None
+            or self._popularity is None
+            or self._shape is None
+        ):
             return []
         assert self._speeds is not None
-        layers = maps.unpack(lead.map, self._shape.experts)
+        layers = maps.unpack(coordinator.map, self._shape.experts)
         found = []
         for weight in skew_weights:
-            made = planner.plan(
+            plan = planner.plan(
                 layers,
                 self._popularity.shares,
                 self._speeds.speeds,
                 skew_weight=weight,
-                budget=COMPARE_BUDGET,
+                budget=_COMPARE_BUDGET,
             )
             found.append(
-                Choice(
+                WeightOutcome(
                     skew_weight=weight,
-                    skew_before=float(np.mean(made.before)),
-                    skew_after=float(np.mean(made.after)),
-                    moves=len(made.moves),
+                    skew_before=float(np.mean(plan.before)),
+                    skew_after=float(np.mean(plan.after)),
+                    moves=len(plan.moves),
                 )
             )
         return found
 
     def receive(self, src: str, msg: Any, now: float) -> Actions:
         """Handle a message from another agent of the group."""
-        if isinstance(msg, _TO_COORDINATOR):
+        if isinstance(msg, _COORDINATOR_MESSAGES):
             if self.coordinator is None:
                 return []
             return self.coordinator.receive(src, msg, now)
         return self.guard.receive(src, msg)
 
-    def _first_map(self, term: int) -> messages.Map:
+    def _initial_map(self, term: int) -> messages.Map:
         assert self._shape is not None
         shape = self._shape
-        slots = placement.initial(shape.ranks, shape.per_rank, shape.experts)
+        slots = placement.initial_slots(
+            shape.ranks, shape.per_rank, shape.experts
+        )
         split = placement.even_split(slots, shape.experts)
         layers = (placement.Layer(slots, split),) * shape.layers
         self._last_version = maps.next_version(term, self._last_version)
         return maps.pack(layers, self._last_version)
 
-    def _plan(self, weights: Weights, now: float) -> Actions:
+    def _plan(self, settings: ExpertSettings, now: float) -> Actions:
         coordinator = self.coordinator
         assert coordinator is not None
         if self._shape is None or self._popularity is None:
@@ -207,23 +217,23 @@
             return []
         assert self._speeds is not None
         layers = maps.unpack(coordinator.map, self._shape.experts)
-        made = planner.plan(
+        plan = planner.plan(
             layers,
             self._popularity.shares,
             self._speeds.speeds,
-            skew_weight=weights.skew_weight,
-            budget=int(self._budget),
+            skew_weight=settings.skew_weight,
+            budget=int(self._move_budget),
         )
-        self.planned_skew = float(np.mean(made.after))
+        self.planned_skew = float(np.mean(plan.after))
         self._metrics.gauge("planned_skew", self.planned_skew)
-        if all(a is b for a, b in zip(made.layers, layers, strict=True)):
+        if all(a is b for a, b in zip(plan.layers, layers, strict=True)):
             return []
-        self._budget -= len(made.moves)
-        self.moves += len(made.moves)
-        self._metrics.inc("expert_moves", len(made.moves))
+        self._move_budget -= len(plan.moves)
+        self.moves += len(plan.moves)
+        self._metrics.inc("expert_moves", len(plan.moves))
         self._metrics.inc("expert_switches")
         self._last_version = maps.next_version(
             coordinator.term, max(self._last_version, coordinator.version)
         )
-        new = maps.pack(made.layers, self._last_version)
-        return coordinator.switch(new, now)
+        new = maps.pack(plan.layers, self._last_version)
+        return coordinator.start_switch(new, now)
--- a/jasperweir/components/experts/maps.py
+++ b/jasperweir/components/experts/maps.py
@@ -31,12 +31,14 @@
     layers = []
     for layer_slots, layer_units in zip(slots, units, strict=True):
         table = layer_slots.astype(np.int64)
-        split = _whole(table, layer_units.astype(np.float64), experts)
+        split = _normalize_split(table, layer_units.astype(np.float64), experts)
         layers.append(placement.Layer(table, split))
     return tuple(layers)
 
 
-def changes(old: messages.Map | None, new: messages.Map, ranks: range) -> int:
+def count_loads(
+    old: messages.Map | None, new: messages.Map, ranks: range
+) -> int:
     """Return how many experts some ranks must load for a new map."""
     slots = np.frombuffer(new.slots, dtype="<u2").reshape(new.shape)
     here = slots[:, ranks.start : ranks.stop]
@@ -52,7 +54,7 @@
     return max(last, term << const.VERSION_BITS) + 1
 
 
-def _whole(
+def _normalize_split(
     slots: placement.Ints,
     units: npt.NDArray[np.float64],
     experts: int,
--- a/jasperweir/components/experts/placement.py
+++ b/jasperweir/components/experts/placement.py
@@ -34,14 +34,14 @@
     replaces: int
 
 
-def copies(slots: Ints, experts: int) -> Ints:
+def count_copies(slots: Ints, experts: int) -> Ints:
     """Return the number of copies of each expert."""
     return np.bincount(slots.ravel(), minlength=experts)
 
 
 def even_split(slots: Ints, experts: int) -> Floats:
     """Return the split that shares each expert's load evenly."""
-    count = copies(slots, experts)
+    count = count_copies(slots, experts)
     split: Floats = 1.0 / count[slots]
     return split
 
@@ -81,7 +81,7 @@
     split = even_split(slots, experts)
     if start is not None:
         # A share of zero could never grow again, so some evenness is kept.
-        split = start + const.SPLIT_RENEWAL * (split - start)
+        split = start + const.EVEN_SPLIT_SHARE * (split - start)
     best, best_peak = split, np.inf
     for _ in range(const.SPLIT_ROUNDS):
         loads = (shares[slots] * split).sum(axis=1) / speeds
@@ -96,7 +96,7 @@
     return split if float(loads.max()) < best_peak else best
 
 
-def initial(ranks: int, per_rank: int, experts: int) -> Ints:
+def initial_slots(ranks: int, per_rank: int, experts: int) -> Ints:
     """Return a round-robin placement with every expert at least once.
 
     Raises:
@@ -130,11 +130,11 @@
     loads = np.zeros(ranks)
     for item in np.argsort(-sizes, kind="stable"):
         expert = items[item]
-        _place(slots, used, loads, int(expert), float(sizes[item]), speeds)
+        _assign(slots, used, loads, int(expert), float(sizes[item]), speeds)
     return slots
 
 
-def _place(
+def _assign(
     slots: Ints,
     used: Ints,
     loads: Floats,
--- a/jasperweir/components/experts/planner.py
+++ b/jasperweir/components/experts/planner.py
@@ -29,14 +29,14 @@
     after: tuple[float, ...]
 
 
-def price_of_move(skew_weight: float) -> float:
+def min_gain_per_move(skew_weight: float) -> float:
     """Return the gain in skew that one move must bring.
 
     Args:
         skew_weight: 1 weighs only skew, 0 only the cost of moves.
     """
-    ratio = const.PRICE_OF_MOVES / const.PRICE_OF_SKEW
-    price: float = const.PRICE_OF_SKEW * ratio ** (1 - skew_weight)
+    ratio = const.MAX_GAIN_PER_MOVE / const.MIN_GAIN_PER_MOVE
+    price: float = const.MIN_GAIN_PER_MOVE * ratio ** (1 - skew_weight)
     return price
 
 
@@ -57,7 +57,7 @@
         skew_weight: The bundle's weight of skew against moves.
         budget: Moves that the weight store allows, over all layers.
     """
-    price = price_of_move(skew_weight)
+    price = min_gain_per_move(skew_weight)
     before = [
         placement.skew(placement.rank_loads(layer, shares[i], speeds))
         for i, layer in enumerate(layers)
@@ -67,9 +67,11 @@
     moves: list[tuple[int, placement.Move]] = []
     # The layers that trail most are mended first, while the budget lasts.
     for i in np.argsort(-np.array(before), kind="stable"):
-        left = min(budget - len(moves), const.MOVES_PER_LAYER)
-        layer, made, value = _mend(layers[i], shares[i], speeds, price, left)
-        if not made and before[i] - value < const.SPLIT_GAIN:
+        left = min(budget - len(moves), const.MAX_MOVES_PER_LAYER)
+        layer, made, value = _improve_layer(
+            layers[i], shares[i], speeds, price, left
+        )
+        if not made and before[i] - value < const.MIN_SPLIT_GAIN:
             continue
         new[i] = layer
         after[i] = value
@@ -82,7 +84,7 @@
     )
 
 
-def _mend(
+def _improve_layer(
     layer: placement.Layer,
     shares: Floats,
     speeds: Floats,
@@ -102,12 +104,15 @@
     made: list[placement.Move] = []
     trial = list(made)
     current = best
-    while len(trial) < budget and len(trial) - len(made) < const.LOOK_AHEAD:
+    while (
+        len(trial) < budget
+        and len(trial) - len(made) < const.MAX_LOOK_AHEAD_MOVES
+    ):
         move = _best_move(current, shares, speeds)
         if move is None:
             break
         trial.append(move)
-        current = _after(current, move, shares, speeds)
+        current = _apply_move(current, move, shares, speeds)
         reached = _skew(current, shares, speeds)
         gain = value - reached
         if gain >= price * (len(trial) - len(made)):
@@ -119,7 +124,7 @@
     return placement.skew(placement.rank_loads(layer, shares, speeds))
 
 
-def _after(
+def _apply_move(
     layer: placement.Layer,
     move: placement.Move,
     shares: Floats,
@@ -139,28 +144,28 @@
 ) -> placement.Move | None:
     """Return the move that most relieves the slowest rank, by estimate."""
     loads = placement.rank_loads(layer, shares, speeds)
-    count = placement.copies(layer.slots, len(shares))
+    count = placement.count_copies(layer.slots, len(shares))
     slowest = int(loads.argmax())
     # A rank whose experts are all the last of their kind can take nothing.
     open_to_more = (count[layer.slots] > 1).any(axis=1)
     order = np.argsort(np.where(open_to_more, loads, np.inf), kind="stable")
-    lightest = order[: const.LIGHTEST_RANKS]
+    lightest = order[: const.CANDIDATE_RANKS]
     found: placement.Move | None = None
     best = np.inf
     for expert in np.unique(layer.slots[slowest]):
         for rank in lightest:
             if rank == slowest or (layer.slots[rank] == expert).any():
                 continue
-            move = _victim(layer, shares, count, int(rank), int(expert))
+            move = _find_move(layer, shares, count, int(rank), int(expert))
             if move is None:
                 continue
-            peak = _estimate(layer, shares, speeds, loads, slowest, move)
+            peak = _estimate_peak(layer, shares, speeds, loads, slowest, move)
             if peak < best:
                 best, found = peak, move
     return found
 
 
-def _victim(
+def _find_move(
     layer: placement.Layer,
     shares: Floats,
     count: Ints,
@@ -177,7 +182,7 @@
     return placement.Move(rank, slot, expert, int(experts[slot]))
 
 
-def _estimate(
+def _estimate_peak(
     layer: placement.Layer,
     shares: Floats,
     speeds: Floats,
--- a/jasperweir/components/experts/popularity.py
+++ b/jasperweir/components/experts/popularity.py
@@ -43,12 +43,12 @@
             counts.shape[1] / totals[present]
         )
         jumped = distance > np.maximum(
-            const.JUMP_DISTANCE, const.JUMP_NOISE_FACTOR * noise
+            const.MIN_JUMP_DISTANCE, const.JUMP_NOISE_FACTOR * noise
         )
         first = ~self._seen[present]
         # The share of the distance that sampling does not explain is drift.
         drift = 1.0 - (noise / np.maximum(distance, 1e-12)) ** 2
-        gain = np.where(first, 1.0, np.clip(drift, const.LEAST_GAIN, 1.0))
+        gain = np.where(first, 1.0, np.clip(drift, const.MIN_AVERAGE_GAIN, 1.0))
         self.shares[present] = old + gain[:, None] * (new - old)
         self._seen |= present
         self.jumps += int((jumped & ~first).sum())
--- a/jasperweir/components/experts/guard.py
+++ b/jasperweir/components/experts/step_gate.py
@@ -9,30 +9,30 @@
 Actions = list[Any]
 
 
-class Load(NamedTuple):
+class LoadWeights(NamedTuple):
     """Action: load the weights of a map on this host's ranks."""
 
     map: messages.Map
     coordinator: str
 
 
-class Allow(NamedTuple):
+class AllowSteps(NamedTuple):
     """Action: let the ranks run these steps under this map."""
 
     grant: messages.Grant
 
 
-class Clear(NamedTuple):
+class RevokeGrants(NamedTuple):
     """Action: take back all grants, the group forms anew."""
 
 
-class Drop(NamedTuple):
+class UnloadWeights(NamedTuple):
     """Action: weights used by maps below this version only may go."""
 
     version: int
 
 
-class Guard:
+class StepGate:
     """Sans-I/O guard of the ranks on one host.
 
     A rank runs a step only under a grant. Whoever misses a switch runs out
@@ -49,7 +49,7 @@
         self._group = group
         self._grants: list[messages.Grant] = []
         self._coordinator = ""
-        self._reported = 0
+        self._reported_step = 0
         self._loaded: set[int] = set()
         self._maps: dict[int, messages.Map] = {}
         self._current: messages.Map | None = None
@@ -59,32 +59,32 @@
         """Map of the newest grant."""
         return self._current
 
-    def version_for(self, step: int) -> int | None:
+    def find_version(self, step: int) -> int | None:
         """Return the map version for a step, or None: do not run it."""
         for grant in self._grants:
             if grant.first <= step <= grant.last:
                 return grant.version
         return None
 
-    def ran(self, step: int) -> Actions:
+    def on_step_done(self, step: int) -> Actions:
         """Note that the ranks have run a step.
 
         The first step of the newest window is reported at once, so that the
         next one is granted long before this one ends.
         """
         self.done = max(self.done, step)
-        top = self._top()
+        top = self._newest_grant()
         self._grants = [
             g for g in self._grants if g.last >= self.done or g is top
         ]
         if top is None or self.done < top.first:
             return []
-        if self._reported >= top.last or not self._coordinator:
+        if self._reported_step >= top.last or not self._coordinator:
             return []
-        self._reported = top.last
-        return [self._granted(top, ok=True)]
+        self._reported_step = top.last
+        return [self._reply(top, ok=True)]
 
-    def _granted(self, grant: messages.Grant, *, ok: bool) -> core.Send:
+    def _reply(self, grant: messages.Grant, *, ok: bool) -> core.Send:
         msg = messages.Granted(
             group=self._group,
             term=self.term,
@@ -94,13 +94,15 @@
         )
         return core.Send(dst=self._coordinator, msg=msg)
 
-    def engine_restarted(self) -> None:
+    def on_engine_restart(self) -> None:
         """Forget what the engine no longer holds."""
         self.done = 0
         self._grants.clear()
         self._loaded.clear()
 
-    def loaded(self, version: int, ok: bool, coordinator: str) -> Actions:
+    def on_weights_loaded(
+        self, version: int, ok: bool, coordinator: str
+    ) -> Actions:
         """Note that the weights of a map are loaded, or cannot be."""
         if ok:
             self._loaded.add(version)
@@ -120,24 +122,24 @@
         self._coordinator = src
         match msg:
             case messages.Seal():
-                return self._seal(src)
+                return self._on_seal(src)
             case messages.Prepare():
-                return self._prepare(src, msg)
+                return self._on_prepare(src, msg)
             case messages.Grant():
-                return self._grant(msg)
+                return self._on_grant(msg)
             case messages.Release():
-                self._forget_below(msg.version)
-                return [Drop(version=msg.version)]
+                self._discard_below(msg.version)
+                return [UnloadWeights(version=msg.version)]
             case messages.Abort():
                 self._loaded.discard(msg.version)
                 self._maps.pop(msg.version, None)
         return []
 
-    def _forget_below(self, version: int) -> None:
+    def _discard_below(self, version: int) -> None:
         self._loaded = {v for v in self._loaded if v >= version}
         self._maps = {v: m for v, m in self._maps.items() if v >= version}
 
-    def _seal(self, src: str) -> Actions:
+    def _on_seal(self, src: str) -> Actions:
         # A window that only some hosts hold would keep the ranks apart.
         self._grants.clear()
         reply = messages.Sealed(
@@ -147,16 +149,16 @@
             loaded=tuple(sorted(self._loaded)),
             current=self._current,
         )
-        return [Clear(), core.Send(dst=src, msg=reply)]
+        return [RevokeGrants(), core.Send(dst=src, msg=reply)]
 
-    def _prepare(self, src: str, msg: messages.Prepare) -> Actions:
+    def _on_prepare(self, src: str, msg: messages.Prepare) -> Actions:
         self._maps[msg.map.version] = msg.map
         if msg.map.version in self._loaded:
-            return self.loaded(msg.map.version, True, src)
-        return [Load(map=msg.map, coordinator=src)]
+            return self.on_weights_loaded(msg.map.version, True, src)
+        return [LoadWeights(map=msg.map, coordinator=src)]
 
-    def _grant(self, msg: messages.Grant) -> Actions:
-        ok = self._acceptable(msg)
+    def _on_grant(self, msg: messages.Grant) -> Actions:
+        ok = self._is_acceptable(msg)
         out: Actions = []
         if ok:
             if msg not in self._grants:
@@ -164,10 +166,10 @@
             self._current = self._maps.get(msg.version, self._current)
             # Repeated grants are handed on as well: the engine may have
             # missed the first.
-            out.append(Allow(grant=msg))
-        return [*out, self._granted(msg, ok=ok)]
+            out.append(AllowSteps(grant=msg))
+        return [*out, self._reply(msg, ok=ok)]
 
-    def _acceptable(self, msg: messages.Grant) -> bool:
+    def _is_acceptable(self, msg: messages.Grant) -> bool:
         if msg.version not in self._loaded:
             return False
         # A step granted under one map is never granted under another.
@@ -178,5 +180,5 @@
             for g in self._grants
         )
 
-    def _top(self) -> messages.Grant | None:
+    def _newest_grant(self) -> messages.Grant | None:
         return max(self._grants, key=lambda g: g.last, default=None)
--- a/jasperweir/components/experts/stragglers.py
+++ b/jasperweir/components/experts/stragglers.py
@@ -8,7 +8,7 @@
 Floats = npt.NDArray[np.float64]
 
 
-class Speeds:
+class SpeedEstimator:
     """Relative speed of each rank, from step times and expected loads.
 
     A rank whose step takes longer in proportion to its load is not slow, it
@@ -22,10 +22,10 @@
     @property
     def speeds(self) -> Floats:
         """Speeds that placement may use: 1 unless shown to be less."""
-        shown = self._samples >= const.STRAGGLER_SAMPLES
+        shown = self._samples >= const.MIN_STRAGGLER_SAMPLES
         slow = self._speeds < 1 / const.STRAGGLER_FACTOR
         return np.where(
-            shown & slow, np.maximum(self._speeds, const.SPEED_FLOOR), 1.0
+            shown & slow, np.maximum(self._speeds, const.MIN_SPEED), 1.0
         )
 
     @property
--- a/jasperweir/daemons/agent.py
+++ b/jasperweir/daemons/agent.py
@@ -273,7 +273,7 @@
                 "choices": [
                     choice._asdict()
                     for choice in self.host.runner.call(
-                        lambda: group.compare(USERS_WEIGHTS)
+                        lambda: group.compare_weights(USERS_WEIGHTS)
                     )
                 ],
             },
--- a/script/slopes.py
+++ b/script/slopes.py
@@ -364,7 +364,7 @@
     for ranks, per_rank, layers in (
         (16, 8, 4), (128, 1, 4), (128, 2, 4), (128, 2, 16), (128, 2, 32),
     ):  # fmt: skip
-        slots = placement.initial(ranks, per_rank, 64)
+        slots = placement.initial_slots(ranks, per_rank, 64)
         layer = placement.Layer(slots, placement.even_split(slots, 64))
         shares = rng.dirichlet(np.full(64, 2.0), layers)
         start = time.process_time()
--- a/standins/group.py
+++ b/standins/group.py
@@ -154,7 +154,7 @@
 
     def _load(self, host: Host, req: web.Req) -> web.Resp:
         new = codec.unpack(req.body, messages.Map)
-        self._store.load(maps.changes(host.current, new, host.ranks))
+        self._store.load(maps.count_loads(host.current, new, host.ranks))
         host.maps[new.version] = new
         return web.json_resp(200, {"loaded": new.version})
 
