--- a/jasperweir/components/experts/coordinator.py
+++ b/jasperweir/components/experts/coordinator.py
@@ -1,4 +1,4 @@
-"""The coordinator's side of grants: windows of steps, and map switches."""
+"""Grants windows of steps to the hosts of a group and switches its map."""
 
 import dataclasses
 import enum
@@ -12,7 +12,7 @@
 
 
 class Phase(enum.StrEnum):
-    """Where the coordination of a group stands."""
+    """Phase of the coordination of a group."""
 
     SEALING = "sealing"
     LOADING = "loading"
@@ -21,7 +21,16 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class HostState:
-    """What the coordinator knows of one host."""
+    """State of one host, from its answers.
+
+    Attributes:
+        sealed: Whether it has promised to ignore earlier coordinators.
+        current: Map of the newest grant that it held before this term.
+        last_granted: Last step of the newest grant that it holds.
+        done: Last step that it has run.
+        heard_at: When its last answer arrived, monotonic seconds.
+        prepared: Versions of the maps whose weights it has loaded.
+    """
 
     sealed: bool = False
     current: messages.Map | None = None
@@ -34,17 +43,19 @@
 class Coordinator:
     """Sans-I/O coordinator of one group in one term.
 
-    A window of steps is granted only when every host holds the one before,
-    so no host is ever granted more than one window beyond what another
-    holds. A new map begins after the last window of the old one; hosts that
-    have its weights go on without any pause.
+    A window of steps is granted only when every host holds the previous one,
+    so no host is more than one window ahead of another. A new map takes effect
+    after the last window of the old one, without a pause since all hosts have
+    loaded its weights.
 
     Attributes:
-        phase: Where the coordination stands.
+        group: Name of the group.
+        term: Term of the coordinator.
+        phase: Phase of the coordination.
         version: Map version of the newest grant.
         pending: Map that is being loaded, or None.
-        switches: Number of maps brought into force.
-        aborts: Number of maps given up while loading.
+        switches: Number of maps that have taken effect.
+        aborts: Number of maps that were aborted while loading.
     """
 
     def __init__(
@@ -75,7 +86,7 @@
 
     @property
     def map(self) -> messages.Map:
-        """Map in force, or to be brought into force first."""
+        """Current map, or the first one before any grant."""
         return self._map
 
     @property
@@ -89,7 +100,7 @@
         return min((h.done for h in self._hosts.values()), default=0)
 
     def silent_hosts(self, now: float) -> list[str]:
-        """Return hosts that have not answered for long."""
+        """Return the hosts that are considered lost."""
         return [
             name
             for name, host in self._hosts.items()
@@ -97,7 +108,7 @@
         ]
 
     def start_switch(self, new: messages.Map, now: float) -> Actions:
-        """Begin to load a map; one still being loaded is overtaken."""
+        """Start to load a map; a pending one is aborted."""
         if self.phase != Phase.RUNNING or new.version <= self.version:
             return []
         out = self._abort_switch()
@@ -106,10 +117,10 @@
         return out + self._send_prepare(new)
 
     def replace_hosts(self, hosts: tuple[str, ...]) -> Actions:
-        """Form the group anew with other hosts, in the same term.
+        """Re-form the group with other hosts, in the same term.
 
-        Steps go on where the granted ones end, since a host that is left
-        out may still hold grants up to there.
+        New steps follow the granted ones, since a removed host may still hold
+        grants for those.
         """
         out = self._abort_switch()
         self._hosts = {name: HostState() for name in hosts}
@@ -118,7 +129,7 @@
         return out
 
     def tick(self, now: float) -> Actions:
-        """Let time pass: repeat what was not answered."""
+        """Send unanswered messages again, and grant what is due."""
         if now - self._sent_at < const.RESEND_SECONDS:
             return []
         self._sent_at = now
@@ -151,7 +162,7 @@
                 return self._on_granted(src, host, msg)
         return []
 
-    # Sealing: learn what was granted before.
+    # Sealing: learn the grants of earlier coordinators.
 
     def _on_sealed(self, host: HostState, msg: messages.Sealed) -> Actions:
         if self.phase != Phase.SEALING:
@@ -166,7 +177,7 @@
         return self._send_prepare(self._map) + self._start_if_loaded()
 
     def _adopt_map(self) -> None:
-        """Go on with the newest map that any host ran, if it still fits."""
+        """Adopt the newest map that any host has run, if its shape fits."""
         held = [h.current for h in self._hosts.values() if h.current]
         newest = max(held, key=lambda m: m.version, default=None)
         if newest is not None and newest.shape == self._map.shape:
@@ -181,7 +192,7 @@
         ]
 
     def _start_if_loaded(self) -> Actions:
-        """Begin to grant once every host holds the first map."""
+        """Start to grant once every host has loaded the first map."""
         version = self._map.version
         if not self._all_prepared(version):
             return []
@@ -200,7 +211,7 @@
             host.last_granted = max(host.last_granted, msg.last)
             return self._grant_if_due()
         if self._grant is not None and msg.last == self._grant.last:
-            # The host has restarted and knows nothing: load the map again.
+            # The host has restarted and must load the map again.
             host.prepared.discard(self.version)
             host.last_granted = 0
             return [
@@ -214,10 +225,10 @@
         return []
 
     def _resend_grant(self, now: float) -> Actions:
-        """Repeat the grant to hosts that lack it or have been quiet.
+        """Send the grant again to hosts that lack it or have been silent.
 
-        A host that restarted after its answer would otherwise wait for
-        grants, and everybody for the host.
+        A host that restarted after its answer would otherwise wait for a grant
+        and stall the group.
         """
         grant = self._grant
         if grant is None:
@@ -230,10 +241,9 @@
         ]
 
     def _grant_if_due(self) -> Actions:
-        """Grant the next window as soon as the ranks have begun this one.
+        """Grant the next window once all hosts have begun the current one.
 
-        So the ranks hold two windows at most, and never wait for a grant
-        that is on its way.
+        Hosts hold at most two windows and do not wait for the network.
         """
         if self.phase != Phase.RUNNING or self._grant is None:
             return []
@@ -262,7 +272,7 @@
         return self._send_to_all(self._grant)
 
     def _send_release(self) -> Actions:
-        """Let old weights go once every host runs under the new map."""
+        """Release old weights once every host has run under the new map."""
         if self._grant is None or self._released_version == self.version:
             return []
         if self.done < self._grant.first:
--- a/jasperweir/components/experts/group.py
+++ b/jasperweir/components/experts/group.py
@@ -1,4 +1,4 @@
-"""One host's part in its group: guard always, coordinator if appointed."""
+"""An agent's part in an expert group, with the coordinator if appointed."""
 
 from typing import Any
 from typing import NamedTuple
@@ -24,7 +24,14 @@
 
 
 class Shape(NamedTuple):
-    """Size of a group, as its engines report it."""
+    """Size of a group, as its engine reports it.
+
+    Attributes:
+        layers: Number of layers.
+        ranks: Number of ranks.
+        per_rank: Slots per rank.
+        experts: Number of experts in a layer.
+    """
 
     layers: int
     ranks: int
@@ -33,7 +40,7 @@
 
 
 class WeightOutcome(NamedTuple):
-    """What one weight of skew against moves would do now."""
+    """Result of a plan with one weight of skew against moves."""
 
     skew_weight: float
     skew_before: float
@@ -42,7 +49,13 @@
 
 
 class ExpertSettings(NamedTuple):
-    """What the bundle says of experts."""
+    """Settings of the bundle for experts.
+
+    Attributes:
+        skew_weight: Weight of skew against moves, 0 to 1.
+        store_moves_per_s: Moves per second that the weight store allows.
+        grant_steps: Steps of a window.
+    """
 
     skew_weight: float
     store_moves_per_s: float
@@ -53,9 +66,11 @@
     """Sans-I/O part of one agent in one expert group.
 
     Attributes:
-        guard: Keeps the ranks of this host to their grants.
-        coordinator: Present while this agent is the appointed coordinator.
-        moves: Experts moved by plans made here.
+        name: Name of the group.
+        guard: Lets the ranks of this host run granted steps only.
+        coordinator: Coordinator while this agent is appointed, or None.
+        moves: Number of experts moved by the plans of this agent.
+        planned_skew: Expected mean skew of the newest plan.
     """
 
     def __init__(
@@ -76,7 +91,7 @@
         self._last_version = 0
 
     def set_shape(self, shape: Shape) -> None:
-        """Learn the group's size from the engine."""
+        """Set the group's size; a new size resets the estimates."""
         if shape == self._shape:
             return
         self._shape = shape
@@ -93,7 +108,7 @@
         settings: ExpertSettings,
         now: float,
     ) -> Actions:
-        """Become, stay or cease to be the coordinator."""
+        """Start, keep or stop the coordinator according to an appointment."""
         is_appointed = (
             appointment is not None
             and appointment.coordinator == self._own_name
@@ -106,8 +121,8 @@
         current = self.coordinator
         if current is not None and current.term == appointment.term:
             if set(hosts) <= set(current.hosts):
-                # A host that merely fell silent may come back; only hosts
-                # that join make the group form anew.
+                # A silent host may return; the group is re-formed only if
+                # another one joins.
                 return []
             return current.replace_hosts(hosts)
         first = self._initial_map(appointment.term)
@@ -122,7 +137,7 @@
         return []
 
     def tick(self, settings: ExpertSettings, now: float) -> Actions:
-        """Let time pass; plan when it is due."""
+        """Advance the coordinator, and plan if it is due."""
         if self.coordinator is None:
             return []
         out = self.coordinator.tick(now)
@@ -144,7 +159,13 @@
         seconds: popularity_lib.Array,
         loads: popularity_lib.Array,
     ) -> None:
-        """Take in popularity and step times from the engine."""
+        """Update the estimates with a report of the engine.
+
+        Args:
+            counts: Tokens of one interval, shape (layers, experts).
+            seconds: Time of a step, shape (ranks,).
+            loads: Load of each rank, shape (ranks,).
+        """
         if self._popularity is None or self._speeds is None:
             return
         if counts.shape == self._popularity.shares.shape:
@@ -155,9 +176,9 @@
     def compare_weights(
         self, skew_weights: tuple[float, ...]
     ) -> list[WeightOutcome]:
-        """Return what each weight would do now, side by side.
+        """Return the result of a plan for each weight.
 
-        Only the coordinator knows; elsewhere the list is empty.
+        The list is empty unless this agent is the coordinator.
         """
         coordinator = self.coordinator
         if (
--- a/jasperweir/components/experts/maps.py
+++ b/jasperweir/components/experts/maps.py
@@ -1,4 +1,4 @@
-"""Expert maps on the wire and as arrays."""
+"""Conversion of expert maps between wire form and arrays."""
 
 import numpy as np
 import numpy.typing as npt
@@ -25,7 +25,7 @@
 
 
 def unpack(packed: messages.Map, experts: int) -> tuple[placement.Layer, ...]:
-    """Return the placement of a wire form; splits are made whole again."""
+    """Return the placement of a wire form, with normalized splits."""
     slots = np.frombuffer(packed.slots, dtype="<u2").reshape(packed.shape)
     units = np.frombuffer(packed.split, dtype=np.uint8).reshape(packed.shape)
     layers = []
@@ -39,14 +39,14 @@
 def count_loads(
     old: messages.Map | None, new: messages.Map, ranks: range
 ) -> int:
-    """Return how many experts some ranks must load for a new map."""
+    """Return how many experts a range of ranks must load for a new map."""
     slots = np.frombuffer(new.slots, dtype="<u2").reshape(new.shape)
-    here = slots[:, ranks.start : ranks.stop]
+    new_slots = slots[:, ranks.start : ranks.stop]
     if old is None or old.shape != new.shape:
-        return int(here.size)
+        return int(new_slots.size)
     before = np.frombuffer(old.slots, dtype="<u2").reshape(old.shape)
-    there = before[:, ranks.start : ranks.stop]
-    return int((here != there).sum())
+    old_slots = before[:, ranks.start : ranks.stop]
+    return int((new_slots != old_slots).sum())
 
 
 def next_version(term: int, last: int) -> int:
--- a/jasperweir/components/experts/messages.py
+++ b/jasperweir/components/experts/messages.py
@@ -9,7 +9,7 @@
     """Expert map of a whole group.
 
     Attributes:
-        version: Unique over all terms of the group; grows.
+        version: Version, unique and increasing over all terms of the group.
         shape: Layers, ranks, slots per rank.
         slots: Expert in each slot, two bytes each, little-endian.
         split: Share of its expert's load that each slot takes, in 255ths.
@@ -23,7 +23,7 @@
 
 @codec.message("experts.seal")
 class Seal(NamedTuple):
-    """A new coordinator asks for the promise to heed no earlier one."""
+    """Request of a new coordinator to ignore all earlier ones."""
 
     group: str
     term: int
@@ -31,11 +31,13 @@
 
 @codec.message("experts.sealed")
 class Sealed(NamedTuple):
-    """The promise, with all that a new coordinator must know.
+    """Reply to Seal: the host's promise and its state.
 
     Attributes:
+        group: Name of the group.
+        term: Term of the coordinator.
         done: Last step that the host has run.
-        loaded: Map versions whose weights the host holds.
+        loaded: Map versions whose weights the host has loaded.
         current: Map of the newest grant that the host held, or None.
     """
 
@@ -48,7 +50,7 @@
 
 @codec.message("experts.prepare")
 class Prepare(NamedTuple):
-    """Load the weights of a coming map."""
+    """Order to load the weights of the next map."""
 
     group: str
     term: int
@@ -57,7 +59,7 @@
 
 @codec.message("experts.prepared")
 class Prepared(NamedTuple):
-    """All weights of a map are loaded here, or cannot be."""
+    """Reply to Prepare: whether all weights of a map are loaded."""
 
     group: str
     term: int
@@ -67,7 +69,15 @@
 
 @codec.message("experts.grant")
 class Grant(NamedTuple):
-    """Leave to run some steps, under one map."""
+    """Permission to run a range of steps under one map.
+
+    Attributes:
+        group: Name of the group.
+        term: Term of the coordinator.
+        version: Version of the map.
+        first: First step.
+        last: Last step.
+    """
 
     group: str
     term: int
@@ -78,7 +88,15 @@
 
 @codec.message("experts.granted")
 class Granted(NamedTuple):
-    """A host holds a grant, or could not take it, and how far it has run."""
+    """Reply to Grant: whether the host accepts it, and its last step.
+
+    Attributes:
+        group: Name of the group.
+        term: Term of the coordinator.
+        last: Last step of the grant.
+        done: Last step that the host has run.
+        ok: Whether the host holds the grant.
+    """
 
     group: str
     term: int
@@ -89,7 +107,7 @@
 
 @codec.message("experts.release")
 class Release(NamedTuple):
-    """No step will be granted under maps below this version any more."""
+    """Notice that no more steps are granted under maps below a version."""
 
     group: str
     term: int
@@ -98,7 +116,7 @@
 
 @codec.message("experts.abort")
 class Abort(NamedTuple):
-    """A prepared map will never be granted."""
+    """Notice that no step will be granted under a prepared map."""
 
     group: str
     term: int
--- a/jasperweir/components/experts/placement.py
+++ b/jasperweir/components/experts/placement.py
@@ -1,4 +1,4 @@
-"""Which expert stands in which slot, and how its load is split."""
+"""Placement of experts in slots, and the split of their load."""
 
 from typing import NamedTuple
 
@@ -40,20 +40,31 @@
 
 
 def even_split(slots: Ints, experts: int) -> Floats:
-    """Return the split that shares each expert's load evenly."""
+    """Return the split that shares each expert's load evenly.
+
+    Args:
+        slots: Shape (ranks, slots per rank).
+        experts: Number of experts.
+    """
     count = count_copies(slots, experts)
     split: Floats = 1.0 / count[slots]
     return split
 
 
 def rank_loads(layer: Layer, shares: Floats, speeds: Floats) -> Floats:
-    """Return each rank's load, in time units of a rank of speed 1."""
+    """Return each rank's load, in the time of a rank of speed 1.
+
+    Args:
+        layer: Placement of the layer.
+        shares: Load of each expert, shape (experts,).
+        speeds: Relative speed of each rank, shape (ranks,).
+    """
     loads: Floats = (shares[layer.slots] * layer.split).sum(axis=1) / speeds
     return loads
 
 
 def skew(loads: Floats) -> float:
-    """Return how far the slowest rank trails the mean, as a share."""
+    """Return the load of the slowest rank over the mean, minus 1."""
     mean = float(loads.mean())
     return float(loads.max()) / mean - 1.0 if mean > 0 else 0.0
 
@@ -64,23 +75,26 @@
     speeds: Floats,
     start: Floats | None = None,
 ) -> Floats:
-    """Return a split of each expert's load that evens out the ranks.
+    """Return a split of each expert's load that balances the ranks.
 
-    Moving load between copies that are loaded already costs no move at all.
-    Each round shifts every expert's load towards the copies on lighter
-    ranks, in proportion to the inverse of the rank's load.
+    Shifting load between loaded copies needs no move. Each round shifts every
+    expert's load towards the copies on less loaded ranks, in proportion to the
+    inverse of the rank's load.
 
     Args:
         slots: Shape (ranks, slots per rank).
-        shares: Load of each expert.
-        speeds: Relative speed of each rank.
-        start: Split to begin with; even if absent.
+        shares: Load of each expert, shape (experts,).
+        speeds: Relative speed of each rank, shape (ranks,).
+        start: Initial split; even if absent.
+
+    Returns:
+        The best split found, shape (ranks, slots per rank).
     """
     experts = len(shares)
     flat = slots.ravel()
     split = even_split(slots, experts)
     if start is not None:
-        # A share of zero could never grow again, so some evenness is kept.
+        # A share of zero could not grow, so some of the even split is mixed in.
         split = start + const.EVEN_SPLIT_SHARE * (split - start)
     best, best_peak = split, np.inf
     for _ in range(const.SPLIT_ROUNDS):
@@ -111,11 +125,10 @@
 
 
 def greedy(shares: Floats, ranks: int, per_rank: int, speeds: Floats) -> Ints:
-    """Return a placement from scratch: replicate, then pack.
+    """Return a placement from scratch, the usual greedy baseline.
 
-    Extra slots go to the expert with the largest load per copy; copies are
-    packed by size onto the least loaded rank that has none yet. This is the
-    usual from-scratch method and the baseline to beat.
+    Extra slots go to the expert with the largest load per copy. Copies are then
+    assigned by descending load to the least loaded rank without a copy.
     """
     experts = len(shares)
     count = np.ones(experts, dtype=np.int64)
@@ -144,8 +157,8 @@
 ) -> None:
     per_rank = slots.shape[1]
     free = used < per_rank
-    apart = free & ~(slots == expert).any(axis=1)
-    allowed = apart if apart.any() else free
+    without_copy = free & ~(slots == expert).any(axis=1)
+    allowed = without_copy if without_copy.any() else free
     after = np.where(allowed, loads + size / speeds, np.inf)
     rank = int(after.argmin())
     slots[rank, used[rank]] = expert
@@ -154,20 +167,20 @@
 
 
 def moves_between(old: Ints, new: Ints) -> list[Move]:
-    """Return the loads that turn one placement into another.
+    """Return the moves that turn one placement into another.
 
-    Within a rank the order of slots is free: only experts that the rank did
-    not hold count as moves.
+    The order of slots within a rank does not matter: only experts that the rank
+    did not hold count as moves.
     """
     found = []
     for rank in range(old.shape[0]):
-        have = list(old[rank])
-        want = list(new[rank])
-        for expert in list(want):
-            if expert in have:
-                have.remove(expert)
-                want.remove(expert)
-        for expert, gone in zip(want, have, strict=True):
-            slot = int(np.flatnonzero(old[rank] == gone)[0])
-            found.append(Move(rank, slot, int(expert), int(gone)))
+        removed = list(old[rank])
+        added = list(new[rank])
+        for expert in list(added):
+            if expert in removed:
+                removed.remove(expert)
+                added.remove(expert)
+        for expert, replaced in zip(added, removed, strict=True):
+            slot = int(np.flatnonzero(old[rank] == replaced)[0])
+            found.append(Move(rank, slot, int(expert), int(replaced)))
     return found
--- a/jasperweir/components/experts/planner.py
+++ b/jasperweir/components/experts/planner.py
@@ -1,4 +1,4 @@
-"""Change placements by few moves, when the gain is worth their price."""
+"""Improves placements by moves whose gain in skew exceeds their cost."""
 
 from typing import NamedTuple
 
@@ -17,9 +17,9 @@
 
     Attributes:
         layers: New placement of every layer.
-        moves: Loads by layer, in an order of which every prefix leaves each
-            expert with a copy.
-        before: Expected skew of each layer if nothing is changed.
+        moves: Layer and move, in an order in which each expert keeps a copy
+            after every move.
+        before: Expected skew of each layer without the plan.
         after: Expected skew of each layer under the plan.
     """
 
@@ -48,14 +48,14 @@
     skew_weight: float,
     budget: int,
 ) -> Plan:
-    """Return placements for the estimated popularity.
+    """Return a plan for the estimated popularity.
 
     Args:
-        layers: Placements in force.
+        layers: Current placements.
         shares: Estimated shares, shape (layers, experts).
         speeds: Relative speed of each rank; a straggler has less than 1.
-        skew_weight: The bundle's weight of skew against moves.
-        budget: Moves that the weight store allows, over all layers.
+        skew_weight: The bundle's weight of skew against moves, 0 to 1.
+        budget: Limit of moves in all layers.
     """
     price = min_gain_per_move(skew_weight)
     before = [
@@ -65,7 +65,7 @@
     new = list(layers)
     after = list(before)
     moves: list[tuple[int, placement.Move]] = []
-    # The layers that trail most are mended first, while the budget lasts.
+    # The layers with the highest skew are improved first.
     for i in np.argsort(-np.array(before), kind="stable"):
         left = min(budget - len(moves), const.MAX_MOVES_PER_LAYER)
         layer, made, value = _improve_layer(
@@ -91,11 +91,10 @@
     price: float,
     budget: int,
 ) -> tuple[placement.Layer, list[placement.Move], float]:
-    """Split anew, then move while each move brings at least its price.
+    """Balance the split, then move while the gain exceeds the price.
 
-    Skew falls in stairs: a move that alone gains nothing may open the next
-    one. A few such moves are tried ahead and kept only if together they
-    bring their price.
+    A move without a gain of its own may enable the next one, so a few moves are
+    tried in advance and kept only if their joint gain exceeds their price.
     """
     slots = layer.slots.copy()
     split = placement.balanced_split(slots, shares, speeds, layer.split)
@@ -142,11 +141,11 @@
 def _best_move(
     layer: placement.Layer, shares: Floats, speeds: Floats
 ) -> placement.Move | None:
-    """Return the move that most relieves the slowest rank, by estimate."""
+    """Return the move with the lowest estimated peak, None if there is none."""
     loads = placement.rank_loads(layer, shares, speeds)
     count = placement.count_copies(layer.slots, len(shares))
     slowest = int(loads.argmax())
-    # A rank whose experts are all the last of their kind can take nothing.
+    # A rank that holds the only copy of each of its experts can add none.
     open_to_more = (count[layer.slots] > 1).any(axis=1)
     order = np.argsort(np.where(open_to_more, loads, np.inf), kind="stable")
     lightest = order[: const.CANDIDATE_RANKS]
@@ -172,7 +171,7 @@
     rank: int,
     expert: int,
 ) -> placement.Move | None:
-    """Return the move into a rank's least used slot that has other copies."""
+    """Return the move into a rank's least used slot with other copies."""
     experts = layer.slots[rank]
     use = shares[experts] * layer.split[rank]
     use = np.where(count[experts] > 1, use, np.inf)
@@ -190,11 +189,11 @@
     slowest: int,
     move: placement.Move,
 ) -> float:
-    """Return the peak after a move, before the rest is split anew.
+    """Return the peak after a move, before the split is balanced again.
 
-    The replaced copy's load goes to its other copies in proportion to what
-    they carry; the new copy then takes from the slowest rank what makes the
-    two ranks even.
+    The load of the replaced copy goes to its other copies in proportion to
+    their load; the new copy then takes load from the slowest rank until both
+    ranks are equally loaded.
     """
     work = loads * speeds
     use = shares[move.replaces] * layer.split[move.rank, move.slot]
--- a/jasperweir/components/experts/popularity.py
+++ b/jasperweir/components/experts/popularity.py
@@ -1,4 +1,4 @@
-"""Expert popularity from late and gappy counts."""
+"""Estimate of expert popularity from delayed and incomplete counts."""
 
 import numpy as np
 import numpy.typing as npt
@@ -9,15 +9,15 @@
 
 
 class Popularity:
-    """Time-averaged share of tokens per expert, with change detection.
+    """Time-averaged share of tokens per expert, with jump detection.
 
-    The average rides out noise: an interval moves it by the share of their
-    distance that sampling does not explain. So the jump of a booking season
-    or of a new repertoire is adopted at once, and slow drift is followed.
+    An interval moves the average by the part of their distance that sampling
+    noise does not explain, so that jumps are adopted at once and slow drift is
+    followed.
 
     Attributes:
         shares: Estimates, shape (layers, experts); rows sum to 1.
-        jumps: How often an interval lay far off, over all layers.
+        jumps: Number of jumps detected, over all layers.
     """
 
     def __init__(self, *, layers: int, experts: int) -> None:
@@ -26,11 +26,11 @@
         self._seen = np.zeros(layers, dtype=bool)
 
     def observe(self, counts: Array) -> None:
-        """Take in the token counts of one interval.
+        """Update the estimates with the token counts of one interval.
 
         Args:
             counts: Shape (layers, experts); a row of zeros or NaN is a gap
-                and leaves that layer's estimate as it is.
+                and does not change that layer's estimate.
         """
         totals = counts.sum(axis=1)
         present = np.isfinite(totals) & (totals > 0)
@@ -46,7 +46,7 @@
             const.MIN_JUMP_DISTANCE, const.JUMP_NOISE_FACTOR * noise
         )
         first = ~self._seen[present]
-        # The share of the distance that sampling does not explain is drift.
+        # Share of the distance that sampling noise does not explain.
         drift = 1.0 - (noise / np.maximum(distance, 1e-12)) ** 2
         gain = np.where(first, 1.0, np.clip(drift, const.MIN_AVERAGE_GAIN, 1.0))
         self.shares[present] = old + gain[:, None] * (new - old)
--- a/jasperweir/components/experts/step_gate.py
+++ b/jasperweir/components/experts/step_gate.py
@@ -1,4 +1,4 @@
-"""A host's side of grants: no step without one, one map per step."""
+"""Lets a host run granted steps only, each under one map."""
 
 from typing import Any
 from typing import NamedTuple
@@ -17,26 +17,26 @@
 
 
 class AllowSteps(NamedTuple):
-    """Action: let the ranks run these steps under this map."""
+    """Action: let the ranks run the steps of a grant under its map."""
 
     grant: messages.Grant
 
 
 class RevokeGrants(NamedTuple):
-    """Action: take back all grants, the group forms anew."""
+    """Action: revoke all grants, since the group re-forms."""
 
 
 class UnloadWeights(NamedTuple):
-    """Action: weights used by maps below this version only may go."""
+    """Action: unload weights that only maps below a version use."""
 
     version: int
 
 
 class StepGate:
-    """Sans-I/O guard of the ranks on one host.
+    """Sans-I/O gate for the steps of the ranks on one host.
 
-    A rank runs a step only under a grant. Whoever misses a switch runs out
-    of grants and stalls; it cannot run a later step on an old map.
+    A rank runs a step only under a grant. A host that misses a switch runs out
+    of grants and stalls; it cannot run a later step under an old map.
 
     Attributes:
         term: Highest coordinator term seen.
@@ -60,17 +60,17 @@
         return self._current
 
     def find_version(self, step: int) -> int | None:
-        """Return the map version for a step, or None: do not run it."""
+        """Return the map version for a step, None if it is not granted."""
         for grant in self._grants:
             if grant.first <= step <= grant.last:
                 return grant.version
         return None
 
     def on_step_done(self, step: int) -> Actions:
-        """Note that the ranks have run a step.
+        """Handle a step that the ranks have run.
 
-        The first step of the newest window is reported at once, so that the
-        next one is granted long before this one ends.
+        The first step of the newest window is reported, so that the next window
+        is granted before this one ends.
         """
         self.done = max(self.done, step)
         top = self._newest_grant()
@@ -95,7 +95,7 @@
         return core.Send(dst=self._coordinator, msg=msg)
 
     def on_engine_restart(self) -> None:
-        """Forget what the engine no longer holds."""
+        """Reset the state that a restarted engine has lost."""
         self.done = 0
         self._grants.clear()
         self._loaded.clear()
@@ -103,7 +103,7 @@
     def on_weights_loaded(
         self, version: int, ok: bool, coordinator: str
     ) -> Actions:
-        """Note that the weights of a map are loaded, or cannot be."""
+        """Report whether the weights of a map have been loaded."""
         if ok:
             self._loaded.add(version)
         reply = messages.Prepared(
@@ -114,7 +114,7 @@
     def receive(self, src: str, msg: Any) -> Actions:
         """Handle a message from a coordinator."""
         if msg.group != self._group or msg.term < self.term:
-            # An isolated coordinator that was replaced has no effect.
+            # A replaced coordinator must have no effect.
             return []
         if msg.term > self.term:
             self.term = msg.term
@@ -140,7 +140,7 @@
         self._maps = {v: m for v, m in self._maps.items() if v >= version}
 
     def _on_seal(self, src: str) -> Actions:
-        # A window that only some hosts hold would keep the ranks apart.
+        # A window that only some hosts hold would desynchronize the ranks.
         self._grants.clear()
         reply = messages.Sealed(
             group=self._group,
@@ -164,15 +164,15 @@
             if msg not in self._grants:
                 self._grants.append(msg)
             self._current = self._maps.get(msg.version, self._current)
-            # Repeated grants are handed on as well: the engine may have
-            # missed the first.
+            # Repeated grants are forwarded too, since the engine may have
+            # missed the first one.
             out.append(AllowSteps(grant=msg))
         return [*out, self._reply(msg, ok=ok)]
 
     def _is_acceptable(self, msg: messages.Grant) -> bool:
         if msg.version not in self._loaded:
             return False
-        # A step granted under one map is never granted under another.
+        # A step must not be granted under two maps.
         return not any(
             g.version != msg.version
             and g.first <= msg.last
--- a/jasperweir/components/experts/stragglers.py
+++ b/jasperweir/components/experts/stragglers.py
@@ -1,4 +1,4 @@
-"""Tell ranks that are slow from ranks that merely carry more."""
+"""Distinguishes slow ranks from ranks with a higher load."""
 
 import numpy as np
 import numpy.typing as npt
@@ -9,10 +9,9 @@
 
 
 class SpeedEstimator:
-    """Relative speed of each rank, from step times and expected loads.
+    """Estimates the relative speed of each rank from step times and loads.
 
-    A rank whose step takes longer in proportion to its load is not slow, it
-    is loaded; only the rest of the difference lowers its speed.
+    A step time in proportion to the load does not lower a rank's speed.
     """
 
     def __init__(self, *, ranks: int) -> None:
@@ -21,7 +20,7 @@
 
     @property
     def speeds(self) -> Floats:
-        """Speeds that placement may use: 1 unless shown to be less."""
+        """Speed of each rank for placement; 1 unless it is a straggler."""
         shown = self._samples >= const.MIN_STRAGGLER_SAMPLES
         slow = self._speeds < 1 / const.STRAGGLER_FACTOR
         return np.where(
@@ -30,15 +29,15 @@
 
     @property
     def stragglers(self) -> list[int]:
-        """Ranks that trail for another reason than their load."""
+        """Ranks that are slower than their load explains."""
         return [int(rank) for rank in np.flatnonzero(self.speeds < 1.0)]
 
     def observe(self, seconds: Floats, loads: Floats) -> None:
-        """Take in one step.
+        """Update the speeds with one step.
 
         Args:
-            seconds: Time that each rank took; NaN if it was not reported.
-            loads: Load that each rank carried, in any unit.
+            seconds: Time of each rank, shape (ranks,); NaN if not reported.
+            loads: Load of each rank, shape (ranks,), in any unit.
         """
         known = np.isfinite(seconds) & (seconds > 0) & (loads > 0)
         if known.sum() < 2:
