--- a/jasperweir/components/experts/coordinator.py
+++ b/jasperweir/components/experts/coordinator.py
@@ -1,4 +1,4 @@
-"""The coordinator's side of grants: windows of steps, and map switches."""
+"""Grants windows of steps to the hosts of a group and switches its map."""
 
 import dataclasses
 import enum
@@ -12,7 +12,7 @@
 
 
 class Phase(enum.StrEnum):
-    """Where the coordination of a group stands."""
+    """Phase of the coordination of a group."""
 
     SEALING = "sealing"
     LOADING = "loading"
@@ -20,12 +20,21 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Host:
-    """What the coordinator knows of one host."""
+class HostState:
+    """State of one host, from its answers.
+
+    Attributes:
+        sealed: Whether it has promised to ignore earlier coordinators.
+        current: Map of the newest grant that it held before this term.
+        last_granted: Last step of the newest grant that it holds.
+        done: Last step that it has run.
+        heard_at: When its last answer arrived, monotonic seconds.
+        prepared: Versions of the maps whose weights it has loaded.
+    """
 
     sealed: bool = False
     current: messages.Map | None = None
-    last: int = 0
+    last_granted: int = 0
     done: int = 0
     heard_at: float = float("-inf")
     prepared: set[int] = dataclasses.field(default_factory=set)
@@ -34,17 +43,19 @@
 class Coordinator:
     """Sans-I/O coordinator of one group in one term.
 
-    A window of steps is granted only when every host holds the one before,
-    so no host is ever granted more than one window beyond what another
-    holds. A new map begins after the last window of the old one; hosts that
-    have its weights go on without any pause.
+    A window of steps is granted only when every host holds the previous one,
+    so no host is more than one window ahead of another. A new map takes effect
+    after the last window of the old one, without a pause since all hosts have
+    loaded its weights.
 
     Attributes:
-        phase: Where the coordination stands.
+        group: Name of the group.
+        term: Term of the coordinator.
+        phase: Phase of the coordination.
         version: Map version of the newest grant.
         pending: Map that is being loaded, or None.
-        switches: Number of maps brought into force.
-        aborts: Number of maps given up while loading.
+        switches: Number of maps that have taken effect.
+        aborts: Number of maps that were aborted while loading.
     """
 
     def __init__(
@@ -64,18 +75,18 @@
         self.pending: messages.Map | None = None
         self.switches = 0
         self.aborts = 0
-        self._hosts = {name: Host() for name in hosts}
+        self._hosts = {name: HostState() for name in hosts}
         self._map = first_map
         self._window = window
         self._grant: messages.Grant | None = None
-        self._next_first = (term << const.STEP_BITS) + 1
+        self._next_step = (term << const.STEP_BITS) + 1
         self._sent_at = float("-inf")
-        self._prepare_since = now
-        self._released = 0
+        self._prepare_started_at = now
+        self._released_version = 0
 
     @property
     def map(self) -> messages.Map:
-        """Map in force, or to be brought into force first."""
+        """Current map, or the first one before any grant."""
         return self._map
 
     @property
@@ -88,37 +99,37 @@
         """Last step that every host has run."""
         return min((h.done for h in self._hosts.values()), default=0)
 
-    def silent(self, now: float) -> list[str]:
-        """Return hosts that have not answered for long."""
+    def silent_hosts(self, now: float) -> list[str]:
+        """Return the hosts that are considered lost."""
         return [
             name
             for name, host in self._hosts.items()
             if now - host.heard_at >= const.HOST_LOST_SECONDS
         ]
 
-    def switch(self, new: messages.Map, now: float) -> Actions:
-        """Begin to load a map; one still being loaded is overtaken."""
+    def start_switch(self, new: messages.Map, now: float) -> Actions:
+        """Start to load a map; a pending one is aborted."""
         if self.phase != Phase.RUNNING or new.version <= self.version:
             return []
-        out = self._abort()
+        out = self._abort_switch()
         self.pending = new
-        self._prepare_since = now
-        return out + self._resend_prepare(new)
+        self._prepare_started_at = now
+        return out + self._send_prepare(new)
 
-    def rehost(self, hosts: tuple[str, ...]) -> Actions:
-        """Form the group anew with other hosts, in the same term.
+    def replace_hosts(self, hosts: tuple[str, ...]) -> Actions:
+        """Re-form the group with other hosts, in the same term.
 
-        Steps go on where the granted ones end, since a host that is left
-        out may still hold grants up to there.
+        New steps follow the granted ones, since a removed host may still hold
+        grants for those.
         """
-        out = self._abort()
-        self._hosts = {name: Host() for name in hosts}
+        out = self._abort_switch()
+        self._hosts = {name: HostState() for name in hosts}
         self._grant = None
         self.phase = Phase.SEALING
         return out
 
     def tick(self, now: float) -> Actions:
-        """Let time pass: repeat what was not answered."""
+        """Send unanswered messages again, and grant what is due."""
         if now - self._sent_at < const.RESEND_SECONDS:
             return []
         self._sent_at = now
@@ -128,13 +139,13 @@
                 waiting = [n for n, h in self._hosts.items() if not h.sealed]
                 return [core.Send(dst=name, msg=seal) for name in waiting]
             case Phase.LOADING:
-                return self._resend_prepare(self._map)
+                return self._send_prepare(self._map)
         out = self._resend_grant(now)
         if self.pending is not None:
-            if now - self._prepare_since >= const.PREPARE_SECONDS:
-                return out + self._abort()
-            out += self._resend_prepare(self.pending)
-        return out + self._advance()
+            if now - self._prepare_started_at >= const.PREPARE_TIMEOUT_SECONDS:
+                return out + self._abort_switch()
+            out += self._send_prepare(self.pending)
+        return out + self._grant_if_due()
 
     def receive(self, src: str, msg: Any, now: float) -> Actions:
         """Handle a host's answer."""
@@ -151,9 +162,9 @@
                 return self._on_granted(src, host, msg)
         return []
 
-    # Sealing: learn what was granted before.
+    # Sealing: learn the grants of earlier coordinators.
 
-    def _on_sealed(self, host: Host, msg: messages.Sealed) -> Actions:
+    def _on_sealed(self, host: HostState, msg: messages.Sealed) -> Actions:
         if self.phase != Phase.SEALING:
             return []
         host.sealed = True
@@ -163,16 +174,16 @@
             return []
         self._adopt_map()
         self.phase = Phase.LOADING
-        return self._resend_prepare(self._map) + self._loaded()
+        return self._send_prepare(self._map) + self._start_if_loaded()
 
     def _adopt_map(self) -> None:
-        """Go on with the newest map that any host ran, if it still fits."""
+        """Adopt the newest map that any host has run, if its shape fits."""
         held = [h.current for h in self._hosts.values() if h.current]
         newest = max(held, key=lambda m: m.version, default=None)
         if newest is not None and newest.shape == self._map.shape:
             self._map = newest
 
-    def _resend_prepare(self, new: messages.Map) -> Actions:
+    def _send_prepare(self, new: messages.Map) -> Actions:
         msg = messages.Prepare(group=self.group, term=self.term, map=new)
         return [
             core.Send(dst=name, msg=msg)
@@ -180,29 +191,29 @@
             if new.version not in host.prepared
         ]
 
-    def _loaded(self) -> Actions:
-        """Begin to grant once every host holds the first map."""
+    def _start_if_loaded(self) -> Actions:
+        """Start to grant once every host has loaded the first map."""
         version = self._map.version
         if not self._all_prepared(version):
             return []
         self.phase = Phase.RUNNING
         self.version = version
         self.switches += 1
-        return self._next_window()
+        return self._grant_window()
 
     # Windows.
 
     def _on_granted(
-        self, src: str, host: Host, msg: messages.Granted
+        self, src: str, host: HostState, msg: messages.Granted
     ) -> Actions:
         host.done = max(host.done, msg.done)
         if msg.ok:
-            host.last = max(host.last, msg.last)
-            return self._advance()
+            host.last_granted = max(host.last_granted, msg.last)
+            return self._grant_if_due()
         if self._grant is not None and msg.last == self._grant.last:
-            # The host has restarted and knows nothing: load the map again.
+            # The host has restarted and must load the map again.
             host.prepared.discard(self.version)
-            host.last = 0
+            host.last_granted = 0
             return [
                 core.Send(
                     dst=src,
@@ -214,10 +225,10 @@
         return []
 
     def _resend_grant(self, now: float) -> Actions:
-        """Repeat the grant to hosts that lack it or have been quiet.
+        """Send the grant again to hosts that lack it or have been silent.
 
-        A host that restarted after its answer would otherwise wait for
-        grants, and everybody for the host.
+        A host that restarted after its answer would otherwise wait for a grant
+        and stall the group.
         """
         grant = self._grant
         if grant is None:
@@ -225,26 +236,25 @@
         return [
             core.Send(dst=name, msg=grant)
             for name, host in self._hosts.items()
-            if host.last < grant.last
-            or now - host.heard_at >= const.REFRESH_SECONDS
+            if host.last_granted < grant.last
+            or now - host.heard_at >= const.GRANT_REFRESH_SECONDS
         ]
 
-    def _advance(self) -> Actions:
-        """Grant the next window as soon as the ranks have begun this one.
+    def _grant_if_due(self) -> Actions:
+        """Grant the next window once all hosts have begun the current one.
 
-        So the ranks hold two windows at most, and never wait for a grant
-        that is on its way.
+        Hosts hold at most two windows and do not wait for the network.
         """
         if self.phase != Phase.RUNNING or self._grant is None:
             return []
-        held = min(h.last for h in self._hosts.values())
+        held = min(h.last_granted for h in self._hosts.values())
         if held < self._grant.last:
             return []
         if self.done < self._grant.first:
             return []
-        return self._release() + self._next_window()
+        return self._send_release() + self._grant_window()
 
-    def _next_window(self) -> Actions:
+    def _grant_window(self) -> Actions:
         pending = self.pending
         if pending is not None and self._all_prepared(pending.version):
             self.version = pending.version
@@ -255,20 +265,20 @@
             group=self.group,
             term=self.term,
             version=self.version,
-            first=self._next_first,
-            last=self._next_first + self._window - 1,
+            first=self._next_step,
+            last=self._next_step + self._window - 1,
         )
-        self._next_first = self._grant.last + 1
-        return self._to_all(self._grant)
+        self._next_step = self._grant.last + 1
+        return self._send_to_all(self._grant)
 
-    def _release(self) -> Actions:
-        """Let old weights go once every host runs under the new map."""
-        if self._grant is None or self._released == self.version:
+    def _send_release(self) -> Actions:
+        """Release old weights once every host has run under the new map."""
+        if self._grant is None or self._released_version == self.version:
             return []
         if self.done < self._grant.first:
             return []
-        self._released = self.version
-        return self._to_all(
+        self._released_version = self.version
+        return self._send_to_all(
             messages.Release(
                 group=self.group, term=self.term, version=self.version
             )
@@ -276,17 +286,17 @@
 
     # Maps.
 
-    def _on_prepared(self, host: Host, msg: messages.Prepared) -> Actions:
+    def _on_prepared(self, host: HostState, msg: messages.Prepared) -> Actions:
         if msg.ok:
             host.prepared.add(msg.version)
             if self.phase == Phase.LOADING:
-                return self._loaded()
+                return self._start_if_loaded()
             return []
         if self.pending is not None and msg.version == self.pending.version:
-            return self._abort()
+            return self._abort_switch()
         return []
 
-    def _abort(self) -> Actions:
+    def _abort_switch(self) -> Actions:
         if self.pending is None:
             return []
         version = self.pending.version
@@ -294,12 +304,12 @@
         self.aborts += 1
         for host in self._hosts.values():
             host.prepared.discard(version)
-        return self._to_all(
+        return self._send_to_all(
             messages.Abort(group=self.group, term=self.term, version=version)
         )
 
     def _all_prepared(self, version: int) -> bool:
         return all(version in h.prepared for h in self._hosts.values())
 
-    def _to_all(self, msg: Any) -> Actions:
+    def _send_to_all(self, msg: Any) -> Actions:
         return [core.Send(dst=name, msg=msg) for name in self._hosts]
--- a/jasperweir/components/experts/group.py
+++ b/jasperweir/components/experts/group.py
@@ -1,4 +1,4 @@
-"""One host's part in its group: guard always, coordinator if appointed."""
+"""An agent's part in an expert group, with the coordinator if appointed."""
 
 from typing import Any
 from typing import NamedTuple
@@ -7,24 +7,31 @@
 
 from jasperweir.components.experts import const
 from jasperweir.components.experts import coordinator as coordinator_lib
-from jasperweir.components.experts import guard as guard_lib
 from jasperweir.components.experts import maps
 from jasperweir.components.experts import messages
 from jasperweir.components.experts import placement
 from jasperweir.components.experts import planner
 from jasperweir.components.experts import popularity as popularity_lib
+from jasperweir.components.experts import step_gate
 from jasperweir.components.experts import stragglers
 from jasperweir.components.registry import ops
 from jasperweir.helpers import metrics as metrics_lib
 
 Actions = list[Any]
-COMPARE_BUDGET = 64
+_COMPARE_BUDGET = 64
 
-_TO_COORDINATOR = (messages.Sealed, messages.Prepared, messages.Granted)
+_COORDINATOR_MESSAGES = (messages.Sealed, messages.Prepared, messages.Granted)
 
 
 class Shape(NamedTuple):
-    """Size of a group, as its engines report it."""
+    """Size of a group, as its engine reports it.
+
+    Attributes:
+        layers: Number of layers.
+        ranks: Number of ranks.
+        per_rank: Slots per rank.
+        experts: Number of experts in a layer.
+    """
 
     layers: int
     ranks: int
@@ -32,8 +39,8 @@
     experts: int
 
 
-class Choice(NamedTuple):
-    """What one weight of skew against moves would do now."""
+class WeightOutcome(NamedTuple):
+    """Result of a plan with one weight of skew against moves."""
 
     skew_weight: float
     skew_before: float
@@ -41,8 +48,14 @@
     moves: int
 
 
-class Weights(NamedTuple):
-    """What the bundle says of experts."""
+class ExpertSettings(NamedTuple):
+    """Settings of the bundle for experts.
+
+    Attributes:
+        skew_weight: Weight of skew against moves, 0 to 1.
+        store_moves_per_s: Moves per second that the weight store allows.
+        grant_steps: Steps of a window.
+    """
 
     skew_weight: float
     store_moves_per_s: float
@@ -53,87 +66,91 @@
     """Sans-I/O part of one agent in one expert group.
 
     Attributes:
-        guard: Keeps the ranks of this host to their grants.
-        coordinator: Present while this agent is the appointed coordinator.
-        moves: Experts moved by plans made here.
+        name: Name of the group.
+        guard: Lets the ranks of this host run granted steps only.
+        coordinator: Coordinator while this agent is appointed, or None.
+        moves: Number of experts moved by the plans of this agent.
+        planned_skew: Expected mean skew of the newest plan.
     """
 
     def __init__(
         self, *, name: str, own: str, metrics: metrics_lib.Metrics
     ) -> None:
         self.name = name
-        self.guard = guard_lib.Guard(group=name)
+        self.guard = step_gate.StepGate(group=name)
         self.coordinator: coordinator_lib.Coordinator | None = None
         self.moves = 0
         self.planned_skew = 0.0
-        self._own = own
+        self._own_name = own
         self._metrics = metrics
         self._shape: Shape | None = None
         self._popularity: popularity_lib.Popularity | None = None
-        self._speeds: stragglers.Speeds | None = None
+        self._speeds: stragglers.SpeedEstimator | None = None
         self._planned_at = 0.0
-        self._budget = 0.0
+        self._move_budget = 0.0
         self._last_version = 0
 
-    def shape(self, shape: Shape) -> None:
-        """Learn the group's size from the engine."""
+    def set_shape(self, shape: Shape) -> None:
+        """Set the group's size; a new size resets the estimates."""
         if shape == self._shape:
             return
         self._shape = shape
         self._popularity = popularity_lib.Popularity(
             layers=shape.layers, experts=shape.experts
         )
-        self._speeds = stragglers.Speeds(ranks=shape.ranks)
+        self._speeds = stragglers.SpeedEstimator(ranks=shape.ranks)
 
-    def follow(
+    def apply_appointment(
         self,
         appointment: ops.Appointment | None,
-        inc: int,
+        incarnation: int,
         hosts: tuple[str, ...],
-        weights: Weights,
+        settings: ExpertSettings,
         now: float,
     ) -> Actions:
-        """Become, stay or cease to be the coordinator."""
-        mine = (
+        """Start, keep or stop the coordinator according to an appointment."""
+        is_appointed = (
             appointment is not None
-            and appointment.coordinator == self._own
-            and appointment.incarnation == inc
+            and appointment.coordinator == self._own_name
+            and appointment.incarnation == incarnation
         )
-        if not mine or self._shape is None or not hosts:
+        if not is_appointed or self._shape is None or not hosts:
             self.coordinator = None
             return []
         assert appointment is not None
         current = self.coordinator
         if current is not None and current.term == appointment.term:
             if set(hosts) <= set(current.hosts):
-                # A host that merely fell silent may come back; only hosts
-                # that join make the group form anew.
+                # A silent host may return; the group is re-formed only if
+                # another one joins.
                 return []
-            return current.rehost(hosts)
-        first = self._first_map(appointment.term)
+            return current.replace_hosts(hosts)
+        first = self._initial_map(appointment.term)
         self.coordinator = coordinator_lib.Coordinator(
             group=self.name,
             term=appointment.term,
             hosts=hosts,
             first_map=first,
-            window=weights.grant_steps,
+            window=settings.grant_steps,
             now=now,
         )
         return []
 
-    def tick(self, weights: Weights, now: float) -> Actions:
-        """Let time pass; plan when it is due."""
+    def tick(self, settings: ExpertSettings, now: float) -> Actions:
+        """Advance the coordinator, and plan if it is due."""
         if self.coordinator is None:
             return []
         out = self.coordinator.tick(now)
-        if now - self._planned_at >= const.PLAN_SECONDS:
-            elapsed = min(now - self._planned_at, const.PLAN_SECONDS * 2)
-            self._budget = min(
-                self._budget + elapsed * weights.store_moves_per_s,
-                weights.store_moves_per_s * const.PREPARE_SECONDS,
+        if now - self._planned_at >= const.PLAN_INTERVAL_SECONDS:
+            elapsed = min(
+                now - self._planned_at, const.PLAN_INTERVAL_SECONDS * 2
+            )
+            self._move_budget = min(
+                self._move_budget + elapsed * settings.store_moves_per_s,
+                settings.store_moves_per_s * const.PREPARE_TIMEOUT_SECONDS,
             )
             self._planned_at = now
-            out += self._plan(weights, now)
+            out += self._plan(settings, now)
         return out
 
     def observe(
@@ -142,7 +159,13 @@
         seconds: popularity_lib.Array,
         loads: popularity_lib.Array,
     ) -> None:
-        """Take in popularity and step times from the engine."""
+        """Update the estimates with a report of the engine.
+
+        Args:
+            counts: Tokens of one interval, shape (layers, experts).
+            seconds: Time of a step, shape (ranks,).
+            loads: Load of each rank, shape (ranks,).
+        """
         if self._popularity is None or self._speeds is None:
             return
         if counts.shape == self._popularity.shares.shape:
@@ -150,53 +173,61 @@
         if seconds.shape == loads.shape:
             self._speeds.observe(seconds, loads)
 
-    def compare(self, skew_weights: tuple[float, ...]) -> list[Choice]:
-        """Return what each weight would do now, side by side.
+    def compare_weights(
+        self, skew_weights: tuple[float, ...]
+    ) -> list[WeightOutcome]:
+        """Return the result of a plan for each weight.
 
-        Only the coordinator knows; elsewhere the list is empty.
+        The list is empty unless this agent is the coordinator.
         """
-        lead = self.coordinator
-        if lead is None or self._popularity is None or self._shape is None:
+        coordinator = self.coordinator
+        if (
+            coordinator is None
+            or self._popularity is None
+            or self._shape is None
+        ):
             return []
         assert self._speeds is not None
-        layers = maps.unpack(lead.map, self._shape.experts)
+        layers = maps.unpack(coordinator.map, self._shape.experts)
         found = []
         for weight in skew_weights:
-            made = planner.plan(
+            plan = planner.plan(
                 layers,
                 self._popularity.shares,
                 self._speeds.speeds,
                 skew_weight=weight,
-                budget=COMPARE_BUDGET,
+                budget=_COMPARE_BUDGET,
             )
             found.append(
-                Choice(
+                WeightOutcome(
                     skew_weight=weight,
-                    skew_before=float(np.mean(made.before)),
-                    skew_after=float(np.mean(made.after)),
-                    moves=len(made.moves),
+                    skew_before=float(np.mean(plan.before)),
+                    skew_after=float(np.mean(plan.after)),
+                    moves=len(plan.moves),
                 )
             )
         return found
 
     def receive(self, src: str, msg: Any, now: float) -> Actions:
         """Handle a message from another agent of the group."""
-        if isinstance(msg, _TO_COORDINATOR):
+        if isinstance(msg, _COORDINATOR_MESSAGES):
             if self.coordinator is None:
                 return []
             return self.coordinator.receive(src, msg, now)
         return self.guard.receive(src, msg)
 
-    def _first_map(self, term: int) -> messages.Map:
+    def _initial_map(self, term: int) -> messages.Map:
         assert self._shape is not None
         shape = self._shape
-        slots = placement.initial(shape.ranks, shape.per_rank, shape.experts)
+        slots = placement.initial_slots(
+            shape.ranks, shape.per_rank, shape.experts
+        )
         split = placement.even_split(slots, shape.experts)
         layers = (placement.Layer(slots, split),) * shape.layers
         self._last_version = maps.next_version(term, self._last_version)
         return maps.pack(layers, self._last_version)
 
-    def _plan(self, weights: Weights, now: float) -> Actions:
+    def _plan(self, settings: ExpertSettings, now: float) -> Actions:
         coordinator = self.coordinator
         assert coordinator is not None
         if self._shape is None or self._popularity is None:
@@ -207,23 +238,23 @@
             return []
         assert self._speeds is not None
         layers = maps.unpack(coordinator.map, self._shape.experts)
-        made = planner.plan(
+        plan = planner.plan(
             layers,
             self._popularity.shares,
             self._speeds.speeds,
-            skew_weight=weights.skew_weight,
-            budget=int(self._budget),
+            skew_weight=settings.skew_weight,
+            budget=int(self._move_budget),
         )
-        self.planned_skew = float(np.mean(made.after))
+        self.planned_skew = float(np.mean(plan.after))
         self._metrics.gauge("planned_skew", self.planned_skew)
-        if all(a is b for a, b in zip(made.layers, layers, strict=True)):
+        if all(a is b for a, b in zip(plan.layers, layers, strict=True)):
             return []
-        self._budget -= len(made.moves)
-        self.moves += len(made.moves)
-        self._metrics.inc("expert_moves", len(made.moves))
+        self._move_budget -= len(plan.moves)
+        self.moves += len(plan.moves)
+        self._metrics.inc("expert_moves", len(plan.moves))
         self._metrics.inc("expert_switches")
         self._last_version = maps.next_version(
             coordinator.term, max(self._last_version, coordinator.version)
         )
-        new = maps.pack(made.layers, self._last_version)
-        return coordinator.switch(new, now)
+        new = maps.pack(plan.layers, self._last_version)
+        return coordinator.start_switch(new, now)
--- a/jasperweir/components/experts/maps.py
+++ b/jasperweir/components/experts/maps.py
@@ -1,4 +1,4 @@
-"""Expert maps on the wire and as arrays."""
+"""Conversion of expert maps between wire form and arrays."""
 
 import numpy as np
 import numpy.typing as npt
@@ -25,26 +25,28 @@
 
 
 def unpack(packed: messages.Map, experts: int) -> tuple[placement.Layer, ...]:
-    """Return the placement of a wire form; splits are made whole again."""
+    """Return the placement of a wire form, with normalized splits."""
     slots = np.frombuffer(packed.slots, dtype="<u2").reshape(packed.shape)
     units = np.frombuffer(packed.split, dtype=np.uint8).reshape(packed.shape)
     layers = []
     for layer_slots, layer_units in zip(slots, units, strict=True):
         table = layer_slots.astype(np.int64)
-        split = _whole(table, layer_units.astype(np.float64), experts)
+        split = _normalize_split(table, layer_units.astype(np.float64), experts)
         layers.append(placement.Layer(table, split))
     return tuple(layers)
 
 
-def changes(old: messages.Map | None, new: messages.Map, ranks: range) -> int:
-    """Return how many experts some ranks must load for a new map."""
+def count_loads(
+    old: messages.Map | None, new: messages.Map, ranks: range
+) -> int:
+    """Return how many experts a range of ranks must load for a new map."""
     slots = np.frombuffer(new.slots, dtype="<u2").reshape(new.shape)
-    here = slots[:, ranks.start : ranks.stop]
+    new_slots = slots[:, ranks.start : ranks.stop]
     if old is None or old.shape != new.shape:
-        return int(here.size)
+        return int(new_slots.size)
     before = np.frombuffer(old.slots, dtype="<u2").reshape(old.shape)
-    there = before[:, ranks.start : ranks.stop]
-    return int((here != there).sum())
+    old_slots = before[:, ranks.start : ranks.stop]
+    return int((new_slots != old_slots).sum())
 
 
 def next_version(term: int, last: int) -> int:
@@ -52,7 +54,7 @@
     return max(last, term << const.VERSION_BITS) + 1
 
 
-def _whole(
+def _normalize_split(
     slots: placement.Ints,
     units: npt.NDArray[np.float64],
     experts: int,
--- a/jasperweir/components/mapswitch/members.py
+++ b/jasperweir/components/mapswitch/members.py
@@ -1,4 +1,4 @@
-"""What the leader knows of the ranks of one group."""
+"""Reported state of the ranks of one group."""
 
 import dataclasses
 import math
@@ -9,66 +9,70 @@
 from jasperweir.components.mapswitch import messages
 
 
-class PassPace(NamedTuple):
-    """How fast passes follow each other.
+class PassTime(NamedTuple):
+    """Measures the time of a pass.
 
     Attributes:
-        seconds: Time of a pass, 0 while it is not known.
-        passes: Pass from which the next measurement runs.
-        since: When that one was told, monotonic seconds.
+        seconds: Time of a pass, 0 if unknown.
+        passes: Pass at which the next measurement starts.
+        since: When that pass was reported, monotonic seconds.
     """
 
     seconds: float = 0.0
     passes: int = 0
     since: float = float("-inf")
 
-    def told(self, passes: int, now: float) -> "PassPace":
-        """Return the pace after a rank has told of a pass.
+    def updated(self, passes: int, now: float) -> "PassTime":
+        """Return the pass time after a rank has reported a pass.
 
-        It is measured over some passes: of two beats that follow closely, one
-        may show no pass at all.
+        The measurement spans a minimum time, since two heartbeats in quick
+        succession may report the same pass.
         """
         if passes < self.passes or self.since == float("-inf"):
-            return PassPace(self.seconds, passes, now)
-        if now - self.since < const.PACE_SECONDS or passes == self.passes:
+            return PassTime(self.seconds, passes, now)
+        if (
+            now - self.since < const.PASS_TIME_WINDOW_SECONDS
+            or passes == self.passes
+        ):
             return self
         seconds = (now - self.since) / (passes - self.passes)
-        return PassPace(seconds, passes, now)
+        return PassTime(seconds, passes, now)
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Member:
-    """One rank, as its agent last told.
+    """One rank as its agent last reported it; times are monotonic seconds.
 
     Attributes:
         agent: Name of the agent on its VM.
-        beat: Newest beat.
-        heard_at: When the beat arrived.
-        holds_until: Until when beats do not replace the state.
-        passes_at: When its newest pass was told.
-        told_held: Pass that it holds by its last beat or answer, also while
-            beats do not replace the state.
-        pace: How fast its passes follow each other.
+        heartbeat: Newest heartbeat.
+        heard_at: When the heartbeat arrived.
+        state_fixed_until: Time until which heartbeats keep the state that an
+            order left.
+        pass_reported_at: When its newest pass was reported.
+        reported_held: Pass that it holds by its last heartbeat or order result,
+            also while heartbeats keep the state.
+        pass_time: Time of its passes.
     """
 
     agent: str
-    beat: messages.EngineBeat
+    heartbeat: messages.EngineHeartbeat
     heard_at: float
-    holds_until: float = 0.0
-    passes_at: float = 0.0
-    told_held: int = 0
-    pace: PassPace = PassPace()
+    state_fixed_until: float = 0.0
+    pass_reported_at: float = 0.0
+    reported_held: int = 0
+    pass_time: PassTime = PassTime()
 
     @property
     def state(self) -> messages.EngineState:
-        """The engine's state."""
-        return self.beat.state
+        """State of the engine."""
+        return self.heartbeat.state
 
     def passes_since(self, now: float, pass_seconds: float) -> int:
-        """Return how many passes may have begun since the last beat."""
+        """Return how many passes may have begun since the last heartbeat."""
         if pass_seconds <= 0:
             return 0
-        begun = (now - self.passes_at) / pass_seconds
+        begun = (now - self.pass_reported_at) / pass_seconds
         return math.floor(begun + 1 - const.PASS_BEGUN_SHARE)
 
 
@@ -78,62 +82,64 @@
     def __init__(self) -> None:
         self._by_rank: dict[int, Member] = {}
         self._by_agent: dict[str, Member] = {}
-        # All in the order of their ranks, until another one is known.
+        # All members by rank; rebuilt when one is added or moves.
         self._ordered: list[Member] = []
 
-    def on_beat(self, src: str, beat: messages.EngineBeat, now: float) -> None:
-        """Take in a beat."""
-        member = self._by_rank.get(beat.state.rank)
+    def on_heartbeat(
+        self, src: str, heartbeat: messages.EngineHeartbeat, now: float
+    ) -> None:
+        """Handle a heartbeat."""
+        member = self._by_rank.get(heartbeat.state.rank)
         if member is None:
-            member = Member(agent=src, beat=beat, heard_at=now)
-            self._by_rank[beat.state.rank] = member
-            self._index()
+            member = Member(agent=src, heartbeat=heartbeat, heard_at=now)
+            self._by_rank[heartbeat.state.rank] = member
+            self._rebuild_index()
         elif member.agent != src:
             member.agent = src
-            self._index()
-        self._renew(member, beat, now)
+            self._rebuild_index()
+        self._update_member(member, heartbeat, now)
 
-    def _index(self) -> None:
+    def _rebuild_index(self) -> None:
         self._ordered = [self._by_rank[n] for n in sorted(self._by_rank)]
-        # Of two ranks at one agent the lower one counts.
+        # If two ranks share an agent, the lower one is used.
         self._by_agent = {m.agent: m for m in reversed(self._ordered)}
 
-    def _renew(
-        self, member: Member, beat: messages.EngineBeat, now: float
+    def _update_member(
+        self, member: Member, heartbeat: messages.EngineHeartbeat, now: float
     ) -> None:
-        member.told_held = beat.state.held
-        member.pace = member.pace.told(beat.state.passes, now)
+        member.reported_held = heartbeat.state.held
+        member.pass_time = member.pass_time.updated(heartbeat.state.passes, now)
         member.heard_at = now
-        if now < member.holds_until:
-            member.beat = beat._replace(state=member.state)
+        if now < member.state_fixed_until:
+            member.heartbeat = heartbeat._replace(state=member.state)
             return
-        member.beat = beat
-        member.holds_until = 0.0
-        member.passes_at = now
+        member.heartbeat = heartbeat
+        member.state_fixed_until = 0.0
+        member.pass_reported_at = now
 
     def on_state(
         self, agent: str, state: messages.EngineState, now: float
     ) -> None:
-        """Take in the state that an order left behind."""
+        """Set the state that an order has left."""
         member = self._by_rank.get(state.rank)
         if member is None or member.agent != agent:
             return
         if state.passes > member.state.passes:
-            member.passes_at = now
-        member.beat = member.beat._replace(state=state)
-        member.told_held = state.held
-        member.holds_until = now + const.STATE_HOLDS_SECONDS
+            member.pass_reported_at = now
+        member.heartbeat = member.heartbeat._replace(state=state)
+        member.reported_held = state.held
+        member.state_fixed_until = now + const.ORDER_STATE_SECONDS
 
-    def of(self, agent: str) -> Member | None:
-        """Return the rank at an agent."""
+    def find_by_agent(self, agent: str) -> Member | None:
+        """Return the rank of an agent."""
         return self._by_agent.get(agent)
 
     def all(self) -> list[Member]:
-        """Return the known ranks in order."""
+        """Return the known ranks, ordered by number."""
         return self._ordered
 
-    def complete(self, term: int, now: float) -> bool:
-        """Tell whether every rank is known, fresh and in step."""
+    def is_complete(self, term: int, now: float) -> bool:
+        """Return whether all ranks are known, recent and in one epoch."""
         members = self.all()
         if not members:
             return False
@@ -141,8 +147,8 @@
         if len(members) != first.size:
             return False
         return all(
-            now - m.heard_at < const.FRESH_SECONDS
-            and m.beat.term == term
+            now - m.heard_at < const.HEARTBEAT_MAX_AGE_SECONDS
+            and m.heartbeat.term == term
             and m.state.is_open
             and m.state.epoch == first.epoch
             and m.state.size == first.size
@@ -150,31 +156,31 @@
         )
 
     def any_held(self) -> bool:
-        """Tell whether any rank holds a pass."""
-        return any(m.told_held for m in self._by_rank.values())
+        """Return whether any rank holds a pass."""
+        return any(m.reported_held for m in self._by_rank.values())
 
-    def uniform(self) -> bool:
-        """Tell whether every rank is armed for one map and pass."""
+    def is_uniformly_armed(self) -> bool:
+        """Return whether all ranks are armed for the same map and pass."""
         states = [m.state for m in self.all()]
-        targets = {(s.armed, s.armed_at) for s in states}
-        return len(targets) == 1 and states[0].armed > 0
+        switches = {(s.armed, s.armed_at) for s in states}
+        return len(switches) == 1 and states[0].armed > 0
 
-    def in_epoch(self, epoch: int) -> bool:
-        """Tell whether the group has not formed anew since an epoch."""
+    def is_in_epoch(self, epoch: int) -> bool:
+        """Return whether the group has not re-formed since an epoch."""
         return all(m.state.epoch == epoch for m in self.all())
 
     def placement(self) -> messages.Placement:
         """Return the experts in use, by set and rank."""
-        ranks = [member.beat.experts for member in self.all()]
+        ranks = [member.heartbeat.experts for member in self.all()]
         sets = min((len(r) for r in ranks), default=0)
         return tuple(
             tuple(rank[number] for rank in ranks) for number in range(sets)
         )
 
     def newest_pass(self, now: float) -> int:
-        """Return the newest pass that any rank has begun by now.
+        """Return the newest pass that any rank may have begun by now.
 
-        What was told is as old as its beat; passes go on meanwhile.
+        Adds the passes that have probably begun since each heartbeat.
         """
         seconds = self.pass_seconds()
         return max(
@@ -183,16 +189,20 @@
         )
 
     def pass_seconds(self) -> float:
-        """Return the usual time of a pass by what the ranks showed."""
-        times = [m.pace.seconds for m in self.all() if m.pace.seconds > 0]
+        """Return the median time of a pass, 0 if unknown."""
+        times = [
+            m.pass_time.seconds for m in self.all() if m.pass_time.seconds > 0
+        ]
         return statistics.median(times) if times else 0.0
 
 
-def same_step(state: messages.EngineState, other: messages.EngineState) -> bool:
-    """Tell whether what the steps of a switch follow from is the same."""
-    return _steps(state) == _steps(other)
+def is_same_step(
+    state: messages.EngineState, other: messages.EngineState
+) -> bool:
+    """Return whether two states call for the same step of a switch."""
+    return _step_state(state) == _step_state(other)
 
 
-def _steps(state: messages.EngineState) -> messages.EngineState:
-    """Return the part of a state that the steps of a switch follow from."""
+def _step_state(state: messages.EngineState) -> messages.EngineState:
+    """Return a state without the fields that no step of a switch reads."""
     return state._replace(passes=0, sequence=0, pace=0.0, running=0, queued=0)
--- a/jasperweir/components/mapswitch/orders.py
+++ b/jasperweir/components/mapswitch/orders.py
@@ -1,4 +1,4 @@
-"""Orders of a leader that their agents have not answered yet."""
+"""Orders of a leader that have not been answered yet."""
 
 import dataclasses
 import itertools
@@ -16,108 +16,119 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Outstanding:
-    """An order that its agent has not answered yet."""
+class PendingOrder:
+    """An order that has not been answered yet.
+
+    Attributes:
+        agent: Agent of the ordered rank.
+        request: The request as it was sent.
+        order: The order.
+        due_at: When it is sent again, monotonic seconds.
+    """
 
     agent: str
-    ask: messages.OrderAsk
+    request: messages.OrderRequest
     order: messages.Order
     due_at: float
 
 
 class OrderBook:
-    """At most one open order for each rank of a group."""
+    """Sends orders and keeps at most one pending order for each rank."""
 
     def __init__(
         self,
         *,
         term: int,
         numbers: "itertools.count[int]",
-        relays: relays_lib.Relays,
+        relays: relays_lib.OrderRelays,
     ) -> None:
         self._term = term
         self._relays = relays
         self._numbers = numbers
-        self._outstanding: dict[str, Outstanding] = {}
-        # Agents by the numbers of their orders.
-        self._agents: dict[int, str] = {}
+        self._pending: dict[str, PendingOrder] = {}
+        self._agents_by_number: dict[int, str] = {}
         self._packed_order: messages.Order | None = None
         self._packed = b""
 
     @property
-    def open(self) -> bool:
+    def has_pending(self) -> bool:
         """Whether any order has not been answered."""
-        return bool(self._outstanding)
+        return bool(self._pending)
 
     def clear(self) -> None:
-        """Wait for no answer any more."""
-        self._outstanding.clear()
-        self._agents.clear()
+        """Drop all pending orders."""
+        self._pending.clear()
+        self._agents_by_number.clear()
 
-    def take(self, number: int) -> Outstanding | None:
-        """Return and close the order of a number."""
-        agent = self._agents.pop(number, None)
+    def pop(self, number: int) -> PendingOrder | None:
+        """Remove and return the pending order with a number."""
+        agent = self._agents_by_number.pop(number, None)
         if agent is None:
             return None
-        return self._outstanding.pop(agent, None)
+        return self._pending.pop(agent, None)
 
-    def give(
+    def send(
         self,
         member: members_lib.Member,
         order: messages.Order,
         epoch: int,
         now: float,
         *,
-        giver: str,
+        sender: str,
     ) -> Actions:
-        """Give an order for a rank, through its agent or another node."""
-        ask = messages.OrderAsk(
+        """Send an order for a rank to its agent, or to another sender."""
+        request = messages.OrderRequest(
             number=next(self._numbers),
             term=self._term,
             epoch=epoch,
-            engine=member.beat.address,
+            engine=member.heartbeat.address,
             order=self._pack(order),
         )
-        replaced = self._outstanding.get(member.agent)
+        replaced = self._pending.get(member.agent)
         if replaced is not None:
-            self._agents.pop(replaced.ask.number, None)
-        self._agents[ask.number] = member.agent
-        self._outstanding[member.agent] = Outstanding(
+            self._agents_by_number.pop(replaced.request.number, None)
+        self._agents_by_number[request.number] = member.agent
+        self._pending[member.agent] = PendingOrder(
             agent=member.agent,
-            ask=ask,
+            request=request,
             order=order,
-            due_at=now + const.DIRECT_SECONDS,
+            due_at=now + const.DIRECT_ORDER_DELAY_SECONDS,
         )
-        return [core.Send(dst=giver or member.agent, msg=ask)]
+        return [core.Send(dst=sender or member.agent, msg=request)]
 
-    def give_all(
+    def send_all(
         self,
         members: list[members_lib.Member],
         order: messages.Order,
         epoch: int,
         now: float,
     ) -> Actions:
-        """Give one order for several ranks, through their agents."""
+        """Send one order for several ranks, through agents or relays."""
         sends: Actions = []
         for member in members:
-            sends += self.give(member, order, epoch, now, giver="")
-        return self._relays.bundle(sends)
+            sends += self.send(member, order, epoch, now, sender="")
+        return self._relays.combine(sends)
 
     def _pack(self, order: messages.Order) -> bytes:
-        """Pack an order, once for all ranks that get the same one."""
+        """Encode an order, once for all ranks that get the same one."""
         if order is not self._packed_order:
             self._packed_order = order
             self._packed = codec.pack_tagged(order)
         return self._packed
 
     def resend(self, now: float, *, direct: bool) -> Actions:
-        """Send again what is due, and by itself to the engine if allowed."""
+        """Send due orders again.
+
+        Args:
+            now: Current time, monotonic seconds.
+            direct: Whether to send them straight to the engines as well.
+        """
         out: Actions = []
-        for waiting in self._outstanding.values():
-            if now < waiting.due_at:
+        for pending in self._pending.values():
+            if now < pending.due_at:
                 continue
-            waiting.due_at = now + const.RESEND_SECONDS
-            out.append(core.Send(dst=waiting.agent, msg=waiting.ask))
+            pending.due_at = now + const.ORDER_RESEND_SECONDS
+            out.append(core.Send(dst=pending.agent, msg=pending.request))
             if direct:
-                out.append(actions.Direct(waiting.agent, waiting.ask))
+                out.append(actions.SendDirectly(pending.agent, pending.request))
         return out
--- a/jasperweir/components/mapswitch/planner.py
+++ b/jasperweir/components/mapswitch/planner.py
@@ -1,7 +1,7 @@
-"""Plans of one group's placement, made some moves at a time; sans-I/O.
+"""Plans the placement of one group in short calls; sans-I/O.
 
-A leader has a fraction of a core and must answer heartbeats within tenths of
-a second: a large group's plan takes longer than that as a whole.
+The plan of a large group takes longer than a leader may delay its heartbeats,
+so it is split into calls of a few moves each.
 """
 
 from typing import NamedTuple
@@ -9,149 +9,152 @@
 from jasperweir.components.deployment import model
 from jasperweir.components.mapswitch import const
 from jasperweir.components.mapswitch import messages
-from jasperweir.components.mapswitch import plan as plan_lib
+from jasperweir.components.mapswitch import placement_search
 
 
-class Question(NamedTuple):
-    """What a plan is made for.
+class PlanRequest(NamedTuple):
+    """Input of a plan.
 
     Attributes:
         epoch: Epoch of the group.
-        map_version: Map in use.
+        map_version: Version of the map in use.
         current: Placement in use.
         shares: Share of each expert in its set, rows that sum to 1.
-        paces: How much longer each rank takes for the same work.
-        lasts_s: How long the demand is expected to stay as it is, seconds.
-        switch_s: How long a switch takes besides its copies, seconds.
+        slowdowns: Slowdown factor of each rank, shape (ranks,).
+        lasts_s: Time for which demand is expected to last, seconds.
+        switch_s: Time of a switch without its copies, seconds.
     """
 
     epoch: int
     map_version: int
     current: messages.Placement
-    shares: plan_lib.Floats
-    paces: plan_lib.Floats
-    lasts_s: float = const.CALM_SECONDS
-    switch_s: float = const.SWITCH_SECONDS
+    shares: placement_search.Floats
+    slowdowns: placement_search.Floats
+    lasts_s: float = const.MAX_DEMAND_DURATION_SECONDS
+    switch_s: float = const.INITIAL_SWITCH_SECONDS
 
 
-class Better(NamedTuple):
-    """Outcome: a placement that is worth its copies.
+class PlanFound(NamedTuple):
+    """Outcome: a placement whose gain exceeds the cost of its copies.
 
     Attributes:
-        question: What it answers.
+        request: Input of the plan.
         placement: The placement.
-        before: Peak of the placement in use, as a mean of the sets.
-        after: The same of this one.
-        copies: Copies of the rank that makes the most.
+        before: Peak load of the placement in use, mean of sets.
+        after: Peak load of the new placement, mean of sets.
+        copies: Highest number of experts that one rank copies.
     """
 
-    question: Question
+    request: PlanRequest
     placement: messages.Placement
     before: float
     after: float
     copies: int
 
 
-class GoodEnough(NamedTuple):
-    """Outcome: the placement in use stays."""
+class NoBetterPlan(NamedTuple):
+    """Outcome: no placement is worth its copies."""
 
 
-class Unfinished(NamedTuple):
+class PlanUnfinished(NamedTuple):
     """Outcome: the search has not ended yet."""
 
 
-Outcome = Better | GoodEnough | Unfinished
+Outcome = PlanFound | NoBetterPlan | PlanUnfinished
 
 
 class Planner:
-    """Work on one question at a time."""
+    """Works on one plan at a time."""
 
     def __init__(self, *, engine: model.Engine) -> None:
         self._engine = engine
-        self._question: Question | None = None
-        self._search: plan_lib.Search | None = None
+        self._request: PlanRequest | None = None
+        self._search: placement_search.PlacementSearch | None = None
 
     @property
     def active(self) -> bool:
-        """Whether a question is being worked on."""
-        return self._question is not None
+        """Whether a plan is in progress."""
+        return self._request is not None
 
-    def begin(self, question: Question) -> None:
-        """Take up a question; an older one is dropped."""
+    def start(self, request: PlanRequest) -> None:
+        """Start a plan; one in progress is cancelled."""
         experts = self._engine.experts
-        self._question = question
-        self._search = plan_lib.Search(
+        self._request = request
+        self._search = placement_search.PlacementSearch(
             start=tuple(
-                plan_lib.table(ranks, experts) for ranks in question.current
+                placement_search.to_matrix(ranks, experts)
+                for ranks in request.current
             ),
-            shares=question.shares,
-            pace=question.paces,
+            shares=request.shares,
+            slowdown=request.slowdowns,
             places=self._engine.places,
             spare=self._engine.spare,
         )
 
-    def drop(self) -> None:
-        """Give up the question."""
-        self._question = None
+    def cancel(self) -> None:
+        """Cancel the plan."""
+        self._request = None
         self._search = None
 
-    def go_on(self) -> Outcome:
-        """Search a little further."""
-        question, search = self._question, self._search
-        if question is None or search is None:
-            return GoodEnough()
-        if not search.go_on(const.PLAN_MOVES):
-            return Unfinished()
-        self.drop()
-        stage = choose(
+    def advance(self) -> Outcome:
+        """Search a few moves further."""
+        request, search = self._request, self._search
+        if request is None or search is None:
+            return NoBetterPlan()
+        if not search.advance(const.MOVES_PER_PLAN_CALL):
+            return PlanUnfinished()
+        self.cancel()
+        stage = choose_stage(
             search.before,
             search.stages,
             copy_s=self._engine.copy_s,
-            switch_s=question.switch_s,
-            lasts_s=question.lasts_s,
+            switch_s=request.switch_s,
+            lasts_s=request.lasts_s,
         )
         if stage is None:
-            return GoodEnough()
-        return Better(
-            question=question,
-            placement=tuple(plan_lib.rows(held) for held in stage.held),
+            return NoBetterPlan()
+        return PlanFound(
+            request=request,
+            placement=tuple(
+                placement_search.to_expert_lists(held) for held in stage.held
+            ),
             before=search.before,
             after=stage.peak,
             copies=stage.copies,
         )
 
 
-def choose(
+def choose_stage(
     before: float,
-    stages: list[plan_lib.Stage],
+    stages: list[placement_search.Stage],
     *,
     copy_s: float,
     switch_s: float,
     lasts_s: float,
-) -> plan_lib.Stage | None:
-    """Return the change that saves most time until the demand moves on.
+) -> placement_search.Stage | None:
+    """Return the stage with the lowest cost while demand lasts.
 
-    A change with few copies helps sooner; the rest can follow with a second
-    one. Compared is the peak summed over time.
+    A stage with few copies takes effect sooner; the other copies can follow in
+    a second switch. The cost is the peak load summed over time.
 
     Args:
-        before: Peak of the placement in use.
-        stages: Changes with more and more copies a rank.
-        copy_s: Time in which a rank copies one expert, seconds.
-        switch_s: Time that a switch takes besides, seconds.
-        lasts_s: How long the demand is expected to stay as it is, seconds.
+        before: Peak load of the placement in use.
+        stages: Stages of a search, ordered by copies per rank.
+        copy_s: Time to copy one expert, seconds.
+        switch_s: Time of a switch without its copies, seconds.
+        lasts_s: Time for which demand is expected to last, seconds.
 
     Returns:
-        The best change, None if none is worth its copies.
+        The best stage, None if none is worth its copies.
     """
     if not stages:
         return None
     final = stages[-1]
-    best: plan_lib.Stage | None = None
-    least = before * lasts_s
+    best: placement_search.Stage | None = None
+    lowest_cost = before * lasts_s
     for stage in stages:
         gain = before - stage.peak
-        if gain < const.LEAST_GAIN * before:
+        if gain < const.MIN_GAIN * before:
             continue
         first_s = switch_s + stage.copies * copy_s
         rest = final.copies - stage.copies
@@ -159,6 +162,6 @@
         left_s = max(0.0, lasts_s - first_s - second_s)
         cost = before * first_s + stage.peak * second_s + final.peak * left_s
         cost += const.COPY_COST * final.copies * copy_s
-        if cost < least:
-            least, best = cost, stage
+        if cost < lowest_cost:
+            lowest_cost, best = cost, stage
     return best
