--- a/features/steps/large_steps.py
+++ b/features/steps/large_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what grows with the size of a site."""
+"""Steps for costs that must not grow with the size of a site."""
 
 import asyncio
 import random
@@ -26,11 +26,11 @@
 from jasperweir.daemons import loop_host
 from jasperweir.helpers import loop_link
 
-LOOP_REST_SECONDS = 0.5
+LOOP_IDLE_SECONDS = 0.5
 
 
-class Counted:
-    """Messages that a site's processes send, and those that are lost."""
+class MessageRecorder:
+    """Records the messages of a site's processes and drops chosen ones."""
 
     def __init__(self, site):
         self.sent = []
@@ -41,7 +41,7 @@
         self.sent.append((src, dst, msg))
         return self.lost(src, dst, msg)
 
-    def whole(self, kind):
+    def full_lists(self, kind):
         return [
             (src, dst)
             for src, dst, msg in self.sent
@@ -49,7 +49,7 @@
         ]
 
 
-def calm_site(context, *, entries, controls=5, targets=0, diskless=()):
+def start_stable_site(context, *, entries, controls=5, targets=0, diskless=()):
     site = site_lib.Site(
         controls=controls, entries=entries, wanted=3, diskless=diskless
     )
@@ -60,8 +60,8 @@
         site.run(0.05)
     site.run(6.0)
     context.site = site
-    context.left = set()
-    context.counted = Counted(site)
+    context.leaving = set()
+    context.recorder = MessageRecorder(site)
 
 
 def target(number, sequence, presence=0):
@@ -71,102 +71,107 @@
 
 
 @given(
-    "a calm site with {controls:d} control VMs, {entries:d} entries and "
+    "a stable site with {controls:d} control VMs, {entries:d} entries and "
     "{targets:d} targets"
 )
-def step_calm(context, controls, entries, targets):
-    calm_site(context, entries=entries, controls=controls, targets=targets)
+def step_stable_site(context, controls, entries, targets):
+    start_stable_site(
+        context, entries=entries, controls=controls, targets=targets
+    )
 
 
 @given(
-    "a calm site with {controls:d} control VMs of which 2 have no disk, and "
+    "a stable site with {controls:d} control VMs of which 2 have no disk, and "
     "{entries:d} entries"
 )
-def step_relays(context, controls, entries):
-    calm_site(
+def step_site_with_diskless(context, controls, entries):
+    start_stable_site(
         context, entries=entries, controls=controls, diskless=("c3", "c5")
     )
     context.site.announce("c1", target(1, 1))
     context.site.run(2.0)
 
 
-def leave(context, number):
-    context.left.add(f"t{number}")
+def announce_leaving(context, number):
+    context.leaving.add(f"t{number}")
     context.site.announce("c2", target(number, 2, records.Presence.LEAVING))
 
 
 @when("one target leaves and 3 seconds pass")
-def step_leaves(context):
-    leave(context, 3)
+def step_target_leaves(context):
+    announce_leaving(context, 3)
     context.site.run(3.0)
 
 
-@when('one target leaves, unheard by entry "{name}", and 3 seconds pass')
-def step_leaves_unheard(context, name):
-    context.counted.lost = lambda src, dst, msg: (
+@when('one target leaves, entry "{name}" misses the change, and 3 seconds pass')
+def step_target_leaves_missed(context, name):
+    context.recorder.lost = lambda src, dst, msg: (
         dst == name and isinstance(msg, records.News)
     )
-    leave(context, 3)
+    announce_leaving(context, 3)
     context.site.run(3.0)
 
 
 @when("{count:d} targets leave, a tenth of a second apart")
 def step_many_leave(context, count):
     for number in range(count):
-        leave(context, number)
+        announce_leaving(context, number)
         context.site.run(0.1)
     context.site.run(1.0)
 
 
-@then("no whole list of targets has been sent")
-def step_no_list(context):
-    assert not context.counted.whole(records.Targets)
+@then("no full list of targets has been sent")
+def step_no_full_target_list(context):
+    assert not context.recorder.full_lists(records.Targets)
 
 
-@then('only entry "{name}" has got a whole list of targets')
-def step_only(context, name):
+@then('only entry "{name}" has received a full list of targets')
+def step_only_one_full_target_list(context, name):
     got = {
         dst
-        for _, dst in context.counted.whole(records.Targets)
+        for _, dst in context.recorder.full_lists(records.Targets)
         if dst in context.site.followers
     }
     assert got == {name}, got
 
 
-@then("fewer than {count:d} whole lists of targets have been sent")
-def step_few_lists(context, count):
-    sent = context.counted.whole(records.Targets)
+@then("fewer than {count:d} full lists of targets have been sent")
+def step_few_full_target_lists(context, count):
+    sent = context.recorder.full_lists(records.Targets)
     assert len(sent) < count, len(sent)
 
 
-@then("every entry has left the target out")
-@then("every entry has left them out")
-def step_left_out(context):
+@then("no entry lists the target as serving")
+@then("no entry lists them as serving")
+def step_not_serving(context):
     site = context.site
     for name, follower in site.followers.items():
         serving = {
             t.target_id for t in follower.directory.serving("s", site.now)
         }
-        assert not serving & context.left, (name, serving & context.left)
+        assert not serving & context.leaving, (name, serving & context.leaving)
 
 
 @when('entry "{name}" closes and 1 second passes')
-def step_closes(context, name):
-    close(context, name)
+def step_entry_closes(context, name):
+    close_entry(context, name)
     context.site.run(1.0)
 
 
-@when('entry "{name}" closes, unheard by entry "{other}", and 3 seconds pass')
-def step_closes_unheard(context, name, other):
-    context.counted.lost = lambda src, dst, msg: (
+@when(
+    'entry "{name}" closes, entry "{other}" misses the change, and '
+    "3 seconds pass"
+)
+def step_entry_closes_missed(context, name, other):
+    context.recorder.lost = lambda src, dst, msg: (
         dst == other and isinstance(msg, records.NodeNews)
     )
-    close(context, name)
+    close_entry(context, name)
     context.site.run(3.0)
 
 
 @given("an entry that holds a list of entries with digest {digest:d}")
-def step_holds_list(context, digest):
+def step_entry_with_list(context, digest):
     node = records.Node("e1", "entry", "p", "e1:80", True, 1, 0)
     context.follower = follower_lib.Follower(node=node, seeds=("c1",), now=0.0)
     nodes = tuple(node._replace(name=name) for name in ("e1", "e3", "e5"))
@@ -174,31 +179,31 @@
     context.follower.receive("c1", held, 0.0)
 
 
-@when("it hears of a change from digest {before:d} to {after:d}")
-def step_hears_change(context, before, after):
+@when("it receives a change from digest {before:d} to {after:d}")
+def step_receives_change(context, before, after):
     gone = context.follower.node._replace(name="e5", open=False)
     news = records.NodeNews(before=before, after=after, nodes=(gone,))
     context.follower.receive("c1", news, 0.1)
 
 
-@then("its beats state digest {digest:d} and it names {names}")
-def step_states(context, digest, names):
+@then("its heartbeats have digest {digest:d} and it lists {names}")
+def step_digest_and_list(context, digest, names):
     beats = context.follower.tick(10.0)
     assert [act.msg.nodes_digest for act in beats] == [digest], beats
     held = context.follower._controls["c1"].nodes
     assert sorted(held) == names.split(", "), held
 
 
-def close(context, name):
-    """Close an entry as one that stops does; it goes on beating."""
+def close_entry(context, name):
+    """Close an entry as on a stop; it still sends heartbeats."""
     site = context.site
     follower = site.followers[name]
     follower.ready = lambda now: False
     site.perform(name, follower.update(is_open=False, now=site.now))
 
 
-@then('no entry names "{name}" to callers')
-def step_unnamed(context, name):
+@then('no entry offers "{name}" to callers')
+def step_not_offered(context, name):
     site = context.site
     for other, follower in site.followers.items():
         named = {node.name for node in follower.open_entries(site.now)}
@@ -206,56 +211,61 @@
         assert len(named) == len(site.followers) - 1, (other, len(named))
 
 
-@then("fewer than {count:d} whole lists of entries have been sent")
-def step_few_node_lists(context, count):
-    sent = context.counted.whole(records.Nodes)
+@then("fewer than {count:d} full lists of entries have been sent")
+def step_few_full_entry_lists(context, count):
+    sent = context.recorder.full_lists(records.Nodes)
     assert len(sent) < count, len(sent)
 
 
-@when("2 seconds of beats are counted")
-def step_count(context):
+@when("heartbeats are counted for 2 seconds")
+def step_count_heartbeats(context):
     context.site.run(2.0)
 
 
-def beaten(context):
+def heartbeat_pairs(context):
     return {
         (src, dst)
-        for src, dst, msg in context.counted.sent
+        for src, dst, msg in context.recorder.sent
         if isinstance(msg, records.NodeBeat)
     }
 
 
-@then("no entry has beaten to a control VM without a disk")
-def step_spared(context):
-    relays = context.site.diskless
-    assert not {pair for pair in beaten(context) if pair[1] in relays}
+@then("no entry has sent a heartbeat to a control VM without a disk")
+def step_no_heartbeats_to_diskless(context):
+    diskless = context.site.diskless
+    assert not {
+        pair for pair in heartbeat_pairs(context) if pair[1] in diskless
+    }
 
 
-@then("each entry has beaten to every control VM with one")
-def step_beaten(context):
+@then("each entry has sent heartbeats to every control VM with a disk")
+def step_heartbeats_to_all_with_disk(context):
     site = context.site
-    keepers = set(site.names) - site.diskless
-    wanted = {(e, c) for e in site.followers for c in keepers}
-    assert beaten(context) == wanted
+    with_disk = set(site.names) - site.diskless
+    wanted = {(e, c) for e in site.followers for c in with_disk}
+    assert heartbeat_pairs(context) == wanted
 
 
-@when("a target leaves by a control VM without a disk and 1 second passes")
-def step_leaves_relay(context):
-    context.left.add("t1")
-    context.ask = context.site.announce(
+@when(
+    "a target announces its leaving to a control VM without a disk and "
+    "1 second passes"
+)
+def step_leaves_through_diskless(context):
+    context.leaving.add("t1")
+    context.announcement = context.site.announce(
         "c5", target(1, 2, records.Presence.LEAVING)
     )
     context.site.run(1.0)
 
 
-@then("its leaving is acknowledged")
-def step_leaving_acknowledged(context):
-    got = context.site.results.get(context.ask)
+@then("the announcement is acknowledged")
+def step_announcement_acknowledged(context):
+    got = context.site.results.get(context.announcement)
     assert isinstance(got, roster_lib.Acknowledged), got
 
 
-@when("an entry starts that is told of those without a disk only")
-def step_starts_late(context):
+@when("an entry starts that knows only the control VMs without a disk")
+def step_starts_with_diskless_seeds(context):
     site = context.site
     node = records.Node("late", "entry", "p", "late:80", False, 77, 0)
     site.followers["late"] = follower_lib.Follower(
@@ -265,7 +275,7 @@
 
 
 @then("it is ready within 2 seconds")
-def step_late_ready(context):
+def step_ready_in_time(context):
     site = context.site
     site.run(2.0)
     assert site.followers["late"].node.open
@@ -274,8 +284,8 @@
 # Address answers.
 
 
-@given("{near:d} entries near a caller and {far:d} elsewhere")
-def step_entries(context, near, far):
+@given("{near:d} entries in the caller's data centre and {far:d} in others")
+def step_entries_by_data_centre(context, near, far):
     context.entries = tuple(
         records.Node(
             f"e{n}", "entry", "p" if n < near else "q", f"e{n}:80", True, 1, 0
@@ -285,42 +295,44 @@
 
 
 @when("the caller asks for addresses")
-def step_asks(context):
-    context.named = near_lib.choose(context.entries, "p", random.Random(1))
+def step_asks_for_addresses(context):
+    context.addresses_received = near_lib.choose(
+        context.entries, "p", random.Random(1)
+    )
 
 
-@then("it is named {named:d} entries, of which {own:d} are near")
-def step_named(context, named, own):
+@then("it gets {named:d} entries, of which {own:d} are in its data centre")
+def step_addresses_received(context, named, own):
     places = {node.caller_address: node.place for node in context.entries}
-    near = [name for name in context.named if places[name] == "p"]
-    found = (len(context.named), len(near))
+    near = [name for name in context.addresses_received if places[name] == "p"]
+    found = (len(context.addresses_received), len(near))
     assert found == (named, own), found
-    assert len(set(context.named)) == named
+    assert len(set(context.addresses_received)) == named
 
 
-# What is added up as it comes.
+# Incrementally updated sums and lists.
 
 
-@when("{count:d} random reports of {entries:d} entries are taken in")
-def step_reports(context, count, entries):
+@when("{count:d} random reports of {entries:d} entries are processed")
+def step_process_reports(context, count, entries):
     rng = random.Random(5)
     balancer = balancer_lib.Balancer(rng=rng)
-    now, told = 0.0, {}
-    context.differs = []
+    now, reports = 0.0, {}
+    context.mismatches = []
     for sequence in range(1, count + 1):
         now += rng.choice((0.01, 0.1, 0.4))
         src = f"e{rng.randrange(entries)}"
         loads = {f"t{rng.randrange(6)}": rng.randint(1, 4) for _ in range(3)}
         if rng.random() < 0.2:
-            # One that was overtaken on the way changes nothing.
+            # A report that arrives out of order must change nothing.
             late = balance_messages.Share(sequence=0, loads=())
             balancer.on_share(src, late, now)
-            if now - told.get(src, (-9.0, {}))[0] < (
+            if now - reports.get(src, (-9.0, {}))[0] < (
                 balance_const.SHARE_STALE_SECONDS
             ):
                 continue
             loads = {}
-            told[src] = (now, loads)
+            reports[src] = (now, loads)
         else:
             share = balance_messages.Share(
                 sequence=sequence,
@@ -329,34 +341,34 @@
                 ),
             )
             balancer.on_share(src, share, now)
-            told[src] = (now, loads)
-        look = now + rng.choice((0.0, 0.7, 1.4))
+            reports[src] = (now, loads)
+        checked_at = now + rng.choice((0.0, 0.7, 1.4))
         for name in (f"t{n}" for n in range(6)):
-            right = sum(
+            expected = sum(
                 counts.get(name, 0)
-                for at, counts in told.values()
+                for at, counts in reports.values()
                 if now - at < balance_const.SHARE_STALE_SECONDS
             )
-            if balancer.count_at(name, now) != right:
-                context.differs.append((sequence, name, right))
-        now = max(now, look)
+            if balancer.count_at(name, now) != expected:
+                context.mismatches.append((sequence, name, expected))
+        now = max(now, checked_at)
 
 
-@then("the open requests at each target are those that fresh entries told")
-def step_sums(context):
-    assert not context.differs, context.differs[:3]
+@then("the open requests at each target are the sum of all fresh reports")
+def step_sums_match(context):
+    assert not context.mismatches, context.mismatches[:3]
 
 
-@when("{count:d} random announcements of {targets:d} targets are taken in")
-def step_announcements(context, count, targets):
+@when("{count:d} random announcements of {targets:d} targets are processed")
+def step_process_announcements(context, count, targets):
     rng = random.Random(6)
     directory = directory_lib.Directory()
     now = 0.0
-    context.differs = []
+    context.mismatches = []
     for sequence in range(1, count + 1):
         now += rng.choice((0.01, 0.3, 2.0))
         number = rng.randrange(targets)
-        # Some have an address that another one had.
+        # Two targets share each address, so some take over an address.
         presence = rng.choice((0, 0, 0, 0, 1, 2))
         record = site_lib.target(
             f"t{number}", f"10.0.0.{number // 2}:80", sequence, presence
@@ -364,24 +376,24 @@
         directory.merge(record, now, rng.choice((0.0, 0.0, 5.0)))
         directory.serving("s", now)
         now += rng.choice((0.0, 1.0, 10.0))
-        # The number of its last announcement is no part of the list.
-        kept = [t.target_id for t in directory.serving("s", now)]
-        looked = directory._serving_now("s", now).targets
-        fresh = [t.target_id for t in looked]
-        if kept != fresh:
-            context.differs.append((sequence, kept, fresh))
+        # The sequence number is not part of the list.
+        cached = [t.target_id for t in directory.serving("s", now)]
+        computed = directory._serving_now("s", now).targets
+        fresh = [t.target_id for t in computed]
+        if cached != fresh:
+            context.mismatches.append((sequence, cached, fresh))
 
 
-@then("the list is each time what a look at all of them shows")
-def step_lists(context):
-    assert not context.differs, context.differs[:1]
+@then("the cached list always equals a newly computed one")
+def step_lists_match(context):
+    assert not context.mismatches, context.mismatches[:1]
 
 
 # Groups of many ranks.
 
 
 @given("a group of {ranks:d} ranks that copies experts for a new map")
-def step_copies(context, ranks):
+def step_group_copies(context, ranks):
     context.dep = engines.Deployment(ranks=ranks)
     leader = context.dep.lead()
     for _ in range(600):
@@ -391,11 +403,11 @@
             break
     context.group = groups[0]
     assert context.group.phase is group_lib.Phase.PREPARING
-    # The answers to its orders are in.
+    # All orders count as answered.
     context.group._orders.clear()
 
 
-def beat_of(context, number, *, done):
+def engine_beat(context, number, *, done):
     rank = context.dep.group.ranks[number]
     state = context.dep.group.state(rank)
     version = context.group._version if done else 0
@@ -409,37 +421,39 @@
     )
 
 
-@when("all ranks but one have told that they are done")
-def step_all_but_one(context):
+@when("all ranks but one have reported that they are done")
+def step_all_but_one_report(context):
     group, now = context.group, context.dep.now
     ranks = len(context.dep.group.ranks)
     for number in range(ranks):
-        group.on_beat(f"a{number}", beat_of(context, number, done=False), now)
+        group.on_beat(
+            f"a{number}", engine_beat(context, number, done=False), now
+        )
     group.tick(now)
-    looked = []
+    scans = []
     every = group.members.all
-    group.members.all = lambda: looked.append(1) or every()
-    # The one that was seen to be behind is the last to tell.
-    context.last = int(group._behind[1:])
+    group.members.all = lambda: scans.append(1) or every()
+    # The rank that the group waits for reports last.
+    context.last_rank = int(group._behind[1:])
     for number in range(ranks):
-        if number != context.last:
-            beat = beat_of(context, number, done=True)
+        if number != context.last_rank:
+            beat = engine_beat(context, number, done=True)
             group.on_beat(f"a{number}", beat, now)
-    context.looked = len(looked)
+    context.scans = len(scans)
 
 
-@then("the group has looked at all ranks no more than {most:d} times")
-def step_looked(context, most):
-    # Each look at 64 ranks for a beat of each would be 64 or more.
-    assert context.looked <= 1, context.looked
-    assert context.looked <= most
+@then("the group has scanned all ranks no more than {most:d} times")
+def step_few_scans(context, most):
+    # A scan on each heartbeat would count 64 or more.
+    assert context.scans <= 1, context.scans
+    assert context.scans <= most
 
 
-@then("it goes on once the last one tells")
-def step_goes_on(context):
+@then("it proceeds once the last one reports")
+def step_proceeds(context):
     group, now = context.group, context.dep.now
-    beat = beat_of(context, context.last, done=True)
-    group.on_beat(f"a{context.last}", beat, now)
+    beat = engine_beat(context, context.last_rank, done=True)
+    group.on_beat(f"a{context.last_rank}", beat, now)
     assert group.phase is group_lib.Phase.HOLDING, group.phase
 
 
@@ -453,14 +467,14 @@
 
 
 @given("two processes linked on one event loop")
-def step_links(context):
+def step_linked_processes(context):
     context.addresses = (free_address(), free_address())
 
 
 @when("{count:d} messages go from one to the other")
-def step_messages(context, count):
+def step_exchange_messages(context, count):
     context.count = count
-    context.got, context.woken = asyncio.run(exchange(context, count))
+    context.received, context.wakeups = asyncio.run(exchange(context, count))
 
 
 async def exchange(context, count):
@@ -486,7 +500,7 @@
         await asyncio.sleep(0.01)
     woken = []
     two._on_readable = lambda: woken.append(1)
-    await asyncio.sleep(LOOP_REST_SECONDS)
+    await asyncio.sleep(LOOP_IDLE_SECONDS)
     one.stop()
     two.stop()
     return got, woken
@@ -496,18 +510,18 @@
     return config_messages.VersionNews(version=number)
 
 
-@then("all come in order")
-def step_in_order(context):
-    assert context.got == list(range(context.count)), len(context.got)
+@then("all arrive in order")
+def step_arrive_in_order(context):
+    assert context.received == list(range(context.count)), len(context.received)
 
 
-@then("with no frames the loop is not woken in half a second")
-def step_rests(context):
-    assert not context.woken, len(context.woken)
+@then("the idle loop is not woken for half a second")
+def step_loop_idles(context):
+    assert not context.wakeups, len(context.wakeups)
 
 
 class FakeHost:
-    """What an alarm needs of its host, on a running loop."""
+    """Host of an alarm on the running event loop."""
 
     def __init__(self):
         self.errors = 0
@@ -526,7 +540,7 @@
 
 
 @when("an alarm is set for 0.2 s, then for 0.05 s, and its function fails once")
-def step_alarm(context):
+def step_alarm_fails(context):
     async def run():
         host = FakeHost()
         called = []
@@ -552,10 +566,10 @@
     assert len(context.called) == 2, context.called
 
 
-@when("a target turns slow at 1.0 s, gets slower at 1.2 s and is well at 3.0 s")
-def step_turns_slow(context):
+@when("a target becomes slow at 1.0 s, slower at 1.2 s and recovers at 3.0 s")
+def step_becomes_slow(context):
     news = slow_news.SlowNews()
-    context.told = []
+    context.notified = []
     for tenth in range(50):
         now = tenth / 10
         pace = 2.0 if now < 1.2 else 3.0
@@ -563,9 +577,9 @@
         is_slow = 1.0 <= now < 3.0
         found = mapswitch_messages.SlowTargets((slow,) if is_slow else ())
         if news.is_due(found, now):
-            context.told.append(now)
+            context.notified.append(now)
 
 
-@then("the entries are told at 1.0, 1.2, 1.7, 2.2, 2.7 and 3.0 s")
-def step_told_slow(context):
-    assert context.told == [1.0, 1.2, 1.7, 2.2, 2.7, 3.0], context.told
+@then("the entries are notified at 1.0, 1.2, 1.7, 2.2, 2.7 and 3.0 s")
+def step_notified(context):
+    assert context.notified == [1.0, 1.2, 1.7, 2.2, 2.7, 3.0], context.notified
--- a/jasperweir/components/follow/__init__.py
+++ b/jasperweir/components/follow/__init__.py
@@ -1,1 +1,1 @@
-"""What entries and agents learn from the control VMs."""
+"""Discovery: what entries and agents learn from the control VMs."""
--- a/script/guards.py
+++ b/script/guards.py
@@ -286,7 +286,7 @@
     Guard("a change that was missed is not skipped", C + "follow/follower.py",
           "if control.nodes_digest != msg.before:", "if False:", "large"),
     Guard("nodes beat to those with a disk", C + "follow/follower.py",
-          "            return keepers\n        return known",
+          "            return log_controls\n        return known",
           "            return known\n        return known", "large"),
     Guard("who was silent is listed again", C + "directory/directory.py",
           "            # Silent for so long that no list names it, and heard "
