--- a/features/harness/claims.py
+++ b/features/harness/claims.py
@@ -1,4 +1,4 @@
-"""Claim owners on a virtual clock, with views, cuts and restarts."""
+"""Simulated claim owners with view changes, partitions and restarts."""
 
 import collections
 import random
@@ -14,8 +14,15 @@
 WINDOW = 60.0
 
 
-class Owners:
-    """Keepers and their clients; ``granted`` is who was let through."""
+class ClaimCluster:
+    """Claim owners and their clients on a virtual clock.
+
+    Attributes:
+        granted: Time and request id of each grant, by key.
+        no_control: Names of entries that are cut off from control.
+        frozen: Names of entries whose process is suspended.
+        loss: Share of messages that are lost.
+    """
 
     def __init__(
         self, names: list[str], seed: int = 0, places: int = 3
@@ -112,7 +119,7 @@
                 self.deliver()
 
     def claim(self, name: str, key: str, rid: str) -> None:
-        """Claim a key; who is granted counts as having run."""
+        """Claim a key; a second grant within the window is an error."""
         record = messages.Record(
             key=key, digest=1, rid=rid, target="t", target_inc=1, http="t"
         )
@@ -123,8 +130,8 @@
                 return
             for at, other in self.granted.get(key, []):
                 same = other == rid
-                old = self.now - at >= WINDOW
-                assert same or old, f"{key}: {other} then {rid}"
+                expired = self.now - at >= WINDOW
+                assert same or expired, f"{key}: {other} then {rid}"
             self.granted.setdefault(key, []).append((self.now, rid))
 
         self.perform(
@@ -139,6 +146,6 @@
         )
 
     def owners(self, key: str) -> list[str]:
-        part = keeper_lib.ranges.partition_of(key)
-        layout = keeper_lib.ranges.layout(self.view.members)
-        return [name for name, _ in layout[part]]
+        partition = keeper_lib.partitions.partition_index(key)
+        owners = keeper_lib.partitions.assign_owners(self.view.members)
+        return [name for name, _ in owners[partition]]
--- a/features/harness/matrix.py
+++ b/features/harness/matrix.py
@@ -73,7 +73,7 @@
         for _, src, dst, msg in due:
             if hasattr(scene, "requeue"):
                 scene.requeue(src, dst, msg)
-            elif isinstance(scene, claims.Owners):
+            elif isinstance(scene, claims.ClaimCluster):
                 scene.queue.append((src, scene.inc[src], dst, msg))
             else:
                 scene.queue.append((src, dst, msg))
@@ -173,7 +173,7 @@
 
 def claims_cell(tap: Tap) -> None:
     """Claims, a lost owner, repair and resends under one fault."""
-    own = claims.Owners([f"e{i}" for i in range(1, 6)])
+    own = claims.ClaimCluster([f"e{i}" for i in range(1, 6)])
     own.tap = tap
     for i in range(6):
         claim(own, f"k{i}", f"r{i}")
--- a/features/steps/claims_steps.py
+++ b/features/steps/claims_steps.py
@@ -1,4 +1,4 @@
-"""Steps on claims."""
+"""Steps for claims of idempotency keys."""
 
 import random
 
@@ -15,167 +15,173 @@
 
 
 @given("{count:d} entries that own claims")
-def entries(context, count):
-    context.own = claims.Owners([f"e{i}" for i in range(1, count + 1)])
-    context.tries = 0
+def start_owners(context, count):
+    context.cluster = claims.ClaimCluster(
+        [f"e{i}" for i in range(1, count + 1)]
+    )
+    context.claim_count = 0
 
 
 def claim(context, key, name=""):
-    context.tries += 1
-    own = context.own
-    alive = sorted(set(own.keepers) - own.frozen)
-    context.rid = f"r{context.tries}"
-    own.claim(name or alive[-1], key, context.rid)
+    context.claim_count += 1
+    cluster = context.cluster
+    alive = sorted(set(cluster.keepers) - cluster.frozen)
+    context.rid = f"r{context.claim_count}"
+    cluster.claim(name or alive[-1], key, context.rid)
 
 
 @when('"{one}" and "{two}" claim "{key}" at once')
-def both(context, one, two, key):
+def claim_at_once(context, one, two, key):
     claim(context, key, one)
     claim(context, key, two)
-    context.own.run(2)
+    context.cluster.run(2)
 
 
-@then("exactly one of them is granted and the other is told held")
+@then('exactly one of them is granted and the other gets "held"')
 def one_granted(context):
-    verdicts = sorted(context.own.verdicts.values())
+    verdicts = sorted(context.cluster.verdicts.values())
     assert verdicts == [const.GRANTED, const.HELD], verdicts
 
 
 @when('"{key}" is claimed')
 def first_claim(context, key):
     claim(context, key)
-    context.own.run(2)
-    assert context.own.verdicts[context.rid] == const.GRANTED
+    context.cluster.run(2)
+    assert context.cluster.verdicts[context.rid] == const.GRANTED
 
 
 @when('"{key}" is claimed again')
 def second_claim(context, key):
     claim(context, key)
-    context.own.run(2)
+    context.cluster.run(2)
 
 
-@when("a whole place is lost at once and the view follows")
-def lose_place(context):
-    own = context.own
-    for name in [n for n in own.keepers if int(n[1:]) % own.places == 1]:
-        own.kill(name)
-    own.change_view()
-    own.run(8)
+@when("a whole data centre is lost at once and the view changes")
+def lose_data_centre(context):
+    cluster = context.cluster
+    for name in [
+        n for n in cluster.keepers if int(n[1:]) % cluster.places == 1
+    ]:
+        cluster.kill(name)
+    cluster.change_view()
+    cluster.run(8)
 
 
-@then("every range is repaired and no key is refused")
+@then("every partition is repaired and no key is refused")
 def nothing_refused(context):
-    assert context.own.repaired()
+    assert context.cluster.repaired()
     for i in range(30):
         claim(context, f"fresh{i}")
-    context.own.run(3)
-    told = {context.own.verdicts[f"r{i}"] for i in range(2, 32)}
-    assert told == {const.GRANTED}, told
+    context.cluster.run(3)
+    verdicts = {context.cluster.verdicts[f"r{i}"] for i in range(2, 32)}
+    assert verdicts == {const.GRANTED}, verdicts
 
 
-def lose(own, name):
-    own.kill(name)
-    own.change_view()
-    own.run(8)
-    assert own.repaired()
+def lose_owner(cluster, name):
+    cluster.kill(name)
+    cluster.change_view()
+    cluster.run(8)
+    assert cluster.repaired()
 
 
-@when('the primary of "{key}" is lost and the view follows')
+@when('the primary of "{key}" is lost and the view changes')
 def lose_primary(context, key):
-    lose(context.own, context.own.owners(key)[0])
+    lose_owner(context.cluster, context.cluster.owners(key)[0])
 
 
 @when('two owners of "{key}" are lost at once')
-def lose_two(context, key):
-    own = context.own
-    for name in own.owners(key)[:2]:
-        own.kill(name)
-    own.change_view()
-    own.run(8)
+def lose_two_owners(context, key):
+    cluster = context.cluster
+    for name in cluster.owners(key)[:2]:
+        cluster.kill(name)
+    cluster.change_view()
+    cluster.run(8)
 
 
-@when("the window and the authority of lost owners pass")
-def window_passes(context):
-    context.own.run(claims.WINDOW + const.AUTHORITY_SECONDS + 1)
+@when("the claim window and the authority of the lost owners expire")
+def claims_expire(context):
+    context.cluster.run(claims.WINDOW + const.AUTHORITY_TIMEOUT_SECONDS + 1)
 
 
 @when(
     'one owner of "{key}" restarts empty and another is lost before the repair'
 )
 def restart_and_lose(context, key):
-    own = context.own
-    first, second = own.owners(key)[:2]
-    own.kill(first)
-    own.start(first)
-    own.change_view()
-    own.kill(second)
-    own.change_view()
-    own.run(8)
+    cluster = context.cluster
+    first, second = cluster.owners(key)[:2]
+    cluster.kill(first)
+    cluster.start(first)
+    cluster.change_view()
+    cluster.kill(second)
+    cluster.change_view()
+    cluster.run(8)
 
 
-@when("every entry has been without control for {seconds:d} seconds")
-def without_control(context, seconds):
-    context.own.no_control = set(context.own.keepers)
-    context.own.run(seconds)
+@when("every entry has been cut off from control for {seconds:d} seconds")
+def cut_off_from_control(context, seconds):
+    context.cluster.no_control = set(context.cluster.keepers)
+    context.cluster.run(seconds)
 
 
-@when('the primary of "{key}" is frozen and the view follows')
+@when('the primary of "{key}" is frozen and the view changes')
 def freeze_primary(context, key):
-    own = context.own
-    context.old = own.owners(key)[0]
-    own.frozen.add(context.old)
-    own.change_view()
-    own.run(8)
+    cluster = context.cluster
+    context.old_primary = cluster.owners(key)[0]
+    cluster.frozen.add(context.old_primary)
+    cluster.change_view()
+    cluster.run(8)
 
 
-@when('the frozen entry thaws and claims "{key}" itself')
-def thaw_and_claim(context, key):
-    own = context.own
-    own.frozen.clear()
-    own.no_control.add(context.old)
-    claim(context, key, context.old)
-    own.run(3)
+@when('the frozen entry resumes and claims "{key}" itself')
+def resume_and_claim(context, key):
+    cluster = context.cluster
+    cluster.frozen.clear()
+    cluster.no_control.add(context.old_primary)
+    claim(context, key, context.old_primary)
+    cluster.run(3)
 
 
 @when('"{key}" is claimed with another body')
-def other_body(context, key):
-    own = context.own
+def claim_with_other_body(context, key):
+    cluster = context.cluster
     context.replies = []
     record = messages.Record(
         key=key, digest=2, rid="other", target="t", target_inc=1, http="t"
     )
-    own.perform(
+    cluster.perform(
         "e1",
-        own.clients["e1"].ask(
+        cluster.clients["e1"].ask(
             record=record,
             expect=0,
             done=context.replies.append,
-            deadline=own.now + 2,
-            now=own.now,
+            deadline=cluster.now + 2,
+            now=cluster.now,
         ),
     )
-    own.run(2)
+    cluster.run(2)
 
 
-@then('the answer is "{verdict}" and holds no record')
-def answer_is(context, verdict):
+@then('the answer is "{verdict}" and contains no record')
+def answer_without_record(context, verdict):
     assert [r.verdict for r in context.replies] == [verdict]
     assert context.replies[0].record is None
 
 
-@then('the second claim is told "{verdict}"')
-def told(context, verdict):
-    assert context.own.verdicts[context.rid] == verdict, context.own.verdicts
+@then('the second claim gets "{verdict}"')
+def second_claim_gets(context, verdict):
+    assert context.cluster.verdicts[context.rid] == verdict, (
+        context.cluster.verdicts
+    )
 
 
 @then("the second claim is not granted")
-def not_granted(context):
-    assert context.own.verdicts[context.rid] != const.GRANTED
+def second_claim_not_granted(context):
+    assert context.cluster.verdicts[context.rid] != const.GRANTED
 
 
-@then("nobody is granted twice")
-def no_double(context):
-    assert all(len(g) <= 1 for g in context.own.granted.values())
+@then("no key is granted twice")
+def no_double_grant(context):
+    assert all(len(g) <= 1 for g in context.cluster.granted.values())
 
 
 EVENTS = ("claim", "claim", "claim", "claim", "run", "run", "kill", "start",
@@ -184,51 +190,51 @@
 
 
 def schedule(seed, events):
-    """Run one schedule; the harness asserts on every grant."""
-    own = claims.Owners([f"e{i}" for i in range(1, 6)], seed=seed)
+    """Run one random schedule; the harness checks every grant."""
+    cluster = claims.ClaimCluster([f"e{i}" for i in range(1, 6)], seed=seed)
     rng = random.Random(seed)
     for number, event in enumerate(events):
         name = f"e{rng.randint(1, 5)}"
-        alive = name in own.keepers
+        alive = name in cluster.keepers
         match event:
-            case "claim" if alive and name not in own.frozen:
-                own.claim(name, f"k{rng.randint(1, 3)}", f"r{number}")
+            case "claim" if alive and name not in cluster.frozen:
+                cluster.claim(name, f"k{rng.randint(1, 3)}", f"r{number}")
             case "run":
-                own.run(rng.uniform(0.1, 4))
+                cluster.run(rng.uniform(0.1, 4))
             case "long":
-                own.run(rng.choice((20, 70, 190)))
+                cluster.run(rng.choice((20, 70, 190)))
             case "kill":
-                own.kill(name)
+                cluster.kill(name)
             case "start" if not alive:
-                own.start(name)
+                cluster.start(name)
             case "view":
-                own.change_view()
+                cluster.change_view()
             case "cut":
                 other = f"e{rng.randint(1, 5)}"
-                own.cut.add(frozenset((name, other)))
+                cluster.cut.add(frozenset((name, other)))
             case "heal":
-                own.cut.clear()
+                cluster.cut.clear()
             case "isolate":
-                own.no_control.add(name)
+                cluster.no_control.add(name)
             case "rejoin":
-                own.no_control.discard(name)
+                cluster.no_control.discard(name)
             case "freeze" if alive:
-                own.frozen.add(name)
+                cluster.frozen.add(name)
             case "thaw":
-                own.frozen.clear()
+                cluster.frozen.clear()
             case "lossy":
-                own.loss = 0.3
+                cluster.loss = 0.3
             case "clean":
-                own.loss = 0.0
+                cluster.loss = 0.0
 
 
 @then("{count:d} random schedules of {length:d} events grant no key twice")
-def random_claims(context, count, length):
+def random_schedules(context, count, length):
     draws.schedules(count, length, EVENTS, schedule)
 
 
-def unrepaired():
-    """Return a primary that entered view 2 and has heard no old owner."""
+def create_unrepaired_primary():
+    """Return a primary in view 2 that is not repaired, and a record."""
     members = (("e1", 1, "p"), ("e2", 1, "p"), ("e3", 1, "p"))
     keeper = keeper_lib.Keeper(name="e1", inc=1, window=60)
     keeper.on_view(ops.View(1, members), 0.0)
@@ -244,32 +250,32 @@
     return keeper, record
 
 
-def unrepaired_owner():
-    keeper, record = unrepaired()
+def check_unrepaired_owner():
+    keeper, record = create_unrepaired_primary()
     ask = messages.Replicate(2, record._replace(version=1, remaining=60.0))
     assert keeper.receive("e2", 1, ask, 0.0) == []
 
 
-def unrepaired_primary():
-    keeper, record = unrepaired()
+def check_unrepaired_primary():
+    keeper, record = create_unrepaired_primary()
     ask = messages.Ask(2, "a", record, 0)
     out = keeper.receive("e2", 1, ask, 0.0)
     assert [a.msg.verdict for a in out] == [const.RETRY]
 
 
-def repairs_in_new_view():
-    keeper, _ = unrepaired()
+def check_repair_in_new_view():
+    keeper, _ = create_unrepaired_primary()
     ask = messages.SyncAsk(3, tuple(range(256)))
     assert keeper.receive("e4", 1, ask, 0.0) == []
 
 
-CLAIM_GUARDS = {
-    "an unrepaired owner does not count": unrepaired_owner,
-    "an unrepaired primary grants nothing": unrepaired_primary,
-    "repairs are answered in the new view only": repairs_in_new_view,
+CLAIM_RULES = {
+    "an unrepaired owner does not count": check_unrepaired_owner,
+    "an unrepaired primary grants nothing": check_unrepaired_primary,
+    "repairs are answered in the new view only": check_repair_in_new_view,
 }
 
 
-@then("the claims' guard holds: {guard}")
-def claim_guard(context, guard):
-    CLAIM_GUARDS[guard]()
+@then("this rule of claims holds: {rule}")
+def check_claim_rule(context, rule):
+    CLAIM_RULES[rule]()
--- a/jasperweir/components/claims/__init__.py
+++ b/jasperweir/components/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Claims: at most one run for each idempotency key, across all entries."""
+"""Claims: at most one run per idempotency key across all entries."""
--- a/jasperweir/components/claims/client.py
+++ b/jasperweir/components/claims/client.py
@@ -1,4 +1,4 @@
-"""The asking side of claims, at the entry that received the request."""
+"""Client side of claims, at the entry that received the request."""
 
 from collections.abc import Callable
 import dataclasses
@@ -13,8 +13,8 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Open:
-    """A question that waits for the range's primary."""
+class PendingAsk:
+    """A request that waits for an answer of the partition's primary."""
 
     record: messages.Record
     expect: int
@@ -24,11 +24,14 @@
 
 
 class Client:
-    """Repeat questions to the current primary until answered or too late."""
+    """Repeats requests to the current primary until an answer or a deadline.
+
+    Sans-I/O; the callback of a request is called exactly once.
+    """
 
     def __init__(self, *, keeper: keeper_lib.Keeper) -> None:
         self._keeper = keeper
-        self._open: dict[str, Open] = {}
+        self._pending: dict[str, PendingAsk] = {}
         self._counter = 0
 
     def ask(
@@ -40,33 +43,42 @@
         deadline: float,
         now: float,
     ) -> Actions:
-        """Claim a key, or change its record at a version."""
+        """Claim a key, or change its record if it has a given version.
+
+        Args:
+            record: Record that claims or replaces the key's record.
+            expect: Version that the held record must have; 0 for a new claim.
+            done: Called with the answer, or with a BLIND verdict after the
+                deadline.
+            deadline: Monotonic time after which the request is given up.
+            now: Monotonic seconds.
+        """
         self._counter += 1
         ask_id = f"{record.rid}/{self._counter}"
-        self._open[ask_id] = Open(
+        self._pending[ask_id] = PendingAsk(
             record=record, expect=expect, done=done, deadline=deadline
         )
         return self._send(ask_id, now)
 
     def receive(self, msg: messages.Reply, now: float) -> Actions:
-        """Take in a primary's answer; late ones are dropped."""
-        question = self._open.get(msg.ask_id)
-        if question is None:
+        """Handle a primary's answer; one that is not awaited is ignored."""
+        pending = self._pending.get(msg.ask_id)
+        if pending is None:
             return []
         if msg.verdict == const.RETRY:
-            # The view is changing here or there: tick asks again.
+            # A view change is in progress; tick repeats the request.
             return []
-        del self._open[msg.ask_id]
-        question.done(msg)
+        del self._pending[msg.ask_id]
+        pending.done(msg)
         return []
 
     def tick(self, now: float) -> Actions:
-        """Repeat what was not answered and give up what is too late."""
+        """Repeat unanswered requests and give up those past the deadline."""
         out: Actions = []
-        for ask_id, question in list(self._open.items()):
-            if now >= question.deadline:
-                del self._open[ask_id]
-                question.done(
+        for ask_id, pending in list(self._pending.items()):
+            if now >= pending.deadline:
+                del self._pending[ask_id]
+                pending.done(
                     messages.Reply(
                         epoch=self._keeper.epoch,
                         ask_id=ask_id,
@@ -74,20 +86,20 @@
                         record=None,
                     )
                 )
-            elif now - question.sent_at >= const.RESEND_SECONDS:
+            elif now - pending.sent_at >= const.RESEND_SECONDS:
                 out += self._send(ask_id, now)
         return out
 
     def _send(self, ask_id: str, now: float) -> Actions:
-        question = self._open[ask_id]
-        question.sent_at = now
-        primary = self._keeper.primary(question.record.key)
+        pending = self._pending[ask_id]
+        pending.sent_at = now
+        primary = self._keeper.primary(pending.record.key)
         if primary is None:
             return []
         msg = messages.Ask(
             epoch=self._keeper.epoch,
             ask_id=ask_id,
-            record=question.record,
-            expect=question.expect,
+            record=pending.record,
+            expect=pending.expect,
         )
         return [core.Send(dst=primary[0], msg=msg)]
--- a/jasperweir/components/claims/keeper.py
+++ b/jasperweir/components/claims/keeper.py
@@ -1,4 +1,4 @@
-"""The owner's side of claims: grant, replicate, repair, fail closed."""
+"""Owner side of claims: grants, replication and repair after view changes."""
 
 import dataclasses
 from typing import Any
@@ -6,17 +6,17 @@
 from jasperweir import core
 from jasperweir.components.claims import const
 from jasperweir.components.claims import messages
-from jasperweir.components.claims import ranges
+from jasperweir.components.claims import partitions
 from jasperweir.components.claims import store as store_lib
 from jasperweir.components.registry import ops
 
 Actions = list[Any]
-Member = ranges.Member
+Member = partitions.Member
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Pending:
-    """A change that waits for another owner to hold it."""
+class PendingReplication:
+    """A change that waits for acknowledgements of other owners."""
 
     src: str
     ask_id: str
@@ -27,29 +27,31 @@
 
 
 class Keeper:
-    """Sans-I/O claim owner; views come from the replicated log.
+    """Sans-I/O owner of claim partitions; views come from the replicated log.
 
-    A grant is given only when a majority of the range's owners holds the
-    record. A new view first collects a majority of the old owners, each of
-    which stops granting in the old view before it answers. If that many are
-    gone, unknown keys are refused as unknown for a whole claim window.
+    A claim is granted only when a majority of the partition's owners stores
+    the record. After a view change a partition is repaired from a majority of
+    its previous owners, each of which stops granting in the previous view
+    before it answers. If a majority is lost, unknown keys are refused with
+    BLIND until every claim that may have been lost has expired.
 
     Attributes:
-        epoch: View in force here.
+        epoch: Number of the view in force.
+        window: Lifetime of a claim record, seconds.
     """
 
     def __init__(self, *, name: str, inc: int, window: float) -> None:
         self.epoch = 0
         self.window = window
-        self._own: Member = (name, inc)
+        self._own_member: Member = (name, inc)
         self._view = ops.View(epoch=0, members=())
         self._store = store_lib.Store()
-        self._owned: set[int] = set()
-        self._unrepaired: set[int] = set()
-        self._pending: dict[str, Pending] = {}
+        self._owned_partitions: set[int] = set()
+        self._unrepaired_partitions: set[int] = set()
+        self._pending: dict[str, PendingReplication] = {}
         self._confirmed_at = float("-inf")
-        self._view_at = 0.0
-        self._sync_at = 0.0
+        self._view_entered_at = 0.0
+        self._next_sync_at = 0.0
 
     def __len__(self) -> int:
         """Return the number of records held."""
@@ -57,55 +59,57 @@
 
     @property
     def ready_epoch(self) -> int:
-        """Newest view for which every owned range is repaired."""
-        return self.epoch - 1 if self._unrepaired else self.epoch
+        """Newest view for which every owned partition is repaired."""
+        return self.epoch - 1 if self._unrepaired_partitions else self.epoch
 
     def primary(self, key: str) -> Member | None:
-        """Return the member that decides on a key."""
+        """Return the primary owner of a key, or None without a view."""
         if not self._view.members:
             return None
-        return ranges.layout(self._view.members)[ranges.partition_of(key)][0]
+        return partitions.assign_owners(self._view.members)[
+            partitions.partition_index(key)
+        ][0]
 
     def on_view(self, view: ops.View, now: float) -> Actions:
-        """Enter a newer view and start to repair the ranges owned in it."""
+        """Enter a newer view and start to repair the partitions owned in it."""
         if view.epoch <= self.epoch:
             return []
         skipped = view.epoch > self.epoch + 1
         self.epoch = view.epoch
         self._view = view
-        self._view_at = now
-        self._sync_at = now
+        self._view_entered_at = now
+        self._next_sync_at = now
         self._pending.clear()
-        # Entering a view is no proof that it is still the newest one.
+        # A newer view may exist already; wait for the leader to confirm.
         self._confirmed_at = float("-inf")
-        owners = ranges.layout(view.members)
-        self._owned = {
-            p for p, names in enumerate(owners) if self._own in names
+        owners = partitions.assign_owners(view.members)
+        self._owned_partitions = {
+            p for p, names in enumerate(owners) if self._own_member in names
         }
-        self._unrepaired = set()
-        for partition in self._owned:
-            self._enter(partition, skipped, now)
-        return self._ask_for_records(now)
+        self._unrepaired_partitions = set()
+        for partition in self._owned_partitions:
+            self._start_repair(partition, skipped, now)
+        return self._request_records(now)
 
     def confirm(self, epoch: int, asked_at: float) -> None:
-        """Note that a leader with a lease called a view the newest.
+        """Record that a leader with a lease confirmed the newest view.
 
         Args:
-            epoch: The view that the leader named.
-            asked_at: When the question to which this is the answer left.
+            epoch: View that the leader confirmed.
+            asked_at: When the confirmation was requested, monotonic seconds.
         """
         if epoch == self.epoch:
             self._confirmed_at = max(self._confirmed_at, asked_at)
 
     def has_authority(self, now: float) -> bool:
-        """Tell whether no later view can have outlived this one's claims."""
-        return now < self._confirmed_at + const.AUTHORITY_SECONDS
+        """Return whether the view was confirmed recently enough to grant."""
+        return now < self._confirmed_at + const.AUTHORITY_TIMEOUT_SECONDS
 
     def tick(self, now: float) -> Actions:
-        """Let time pass: repeat what was not answered, forget the old."""
+        """Repeat unanswered messages and delete expired records."""
         out: Actions = []
-        if self._unrepaired and now >= self._sync_at:
-            out += self._ask_for_records(now)
+        if self._unrepaired_partitions and now >= self._next_sync_at:
+            out += self._request_records(now)
         for pending in self._pending.values():
             if now - pending.sent_at >= const.RESEND_SECONDS:
                 pending.sent_at = now
@@ -131,31 +135,31 @@
     # Grants.
 
     def _on_ask(self, src: str, msg: messages.Ask, now: float) -> Actions:
-        partition = ranges.partition_of(msg.record.key)
-        own_range = self._store.ranges.get(partition)
+        partition = partitions.partition_index(msg.record.key)
+        state = self._store.partitions.get(partition)
         if (
             msg.epoch != self.epoch
-            or own_range is None
+            or state is None
             or not self.has_authority(now)
-            or self.primary(msg.record.key) != self._own
+            or self.primary(msg.record.key) != self._own_member
         ):
             return self._reply(src, msg, const.RETRY, None)
-        known = own_range.records.get(msg.record.key)
+        known = state.records.get(msg.record.key)
         if known is not None:
-            return self._on_known(src, msg, known, partition, now)
-        if partition in self._unrepaired:
-            blind = now < own_range.blind_until
+            return self._on_known_key(src, msg, known, partition, now)
+        if partition in self._unrepaired_partitions:
+            blind = now < state.blind_until
             verdict = const.BLIND if blind else const.RETRY
             return self._reply(src, msg, verdict, None)
         if msg.expect:
-            # The record to be changed is not here: never recreate it.
+            # A missing record is never recreated by a change.
             return self._reply(src, msg, const.BLIND, None)
-        if len(self._store) >= const.RECORDS_MAX:
+        if len(self._store) >= const.MAX_RECORDS:
             return self._reply(src, msg, const.FULL, None)
         record = msg.record._replace(version=1)
         return self._store_and_replicate(src, msg, record, now)
 
-    def _on_known(
+    def _on_known_key(
         self,
         src: str,
         msg: messages.Ask,
@@ -165,15 +169,15 @@
     ) -> Actions:
         if known.digest != msg.record.digest:
             return self._reply(src, msg, const.REUSED, None)
-        if partition in self._unrepaired:
-            # What is held may be old; only a repaired range may change it.
+        if partition in self._unrepaired_partitions:
+            # The record may be stale; only a repaired partition changes it.
             if known.state == const.STATE_FINISHED:
                 return self._reply(src, msg, const.HELD, known)
             return self._reply(src, msg, const.RETRY, None)
         if msg.expect == 0 and known.rid != msg.record.rid:
             return self._reply(src, msg, const.HELD, known)
         if msg.expect == 0:
-            # The same request asks again, its first grant was lost.
+            # The grant was lost and the same request repeats its claim.
             return self._store_and_replicate(src, msg, known, now)
         if msg.expect != known.version:
             repeated = (
@@ -197,10 +201,10 @@
     ) -> Actions:
         self._store.put(record._replace(remaining=self.window), now)
         owners = self._owners(record.key)
-        needed = ranges.majority(len(owners)) - 1
+        needed = partitions.majority(len(owners)) - 1
         if needed == 0:
             return self._reply(src, msg, const.GRANTED, record)
-        self._pending[record.key] = Pending(
+        self._pending[record.key] = PendingReplication(
             src=src,
             ask_id=msg.ask_id,
             record=record._replace(remaining=self.window),
@@ -214,21 +218,21 @@
         return [
             core.Send(dst=name, msg=msg)
             for name, inc in self._owners(record.key)
-            if (name, inc) != self._own
+            if (name, inc) != self._own_member
         ]
 
     def _on_replicate(
         self, src: str, msg: messages.Replicate, now: float
     ) -> Actions:
-        partition = ranges.partition_of(msg.record.key)
-        if msg.epoch != self.epoch or partition not in self._owned:
+        partition = partitions.partition_index(msg.record.key)
+        if msg.epoch != self.epoch or partition not in self._owned_partitions:
             return []
         if not self.has_authority(now):
             return []
-        if partition in self._unrepaired:
+        if partition in self._unrepaired_partitions:
             # An owner that is not repaired must not count.
             return []
-        known = self._store.ranges[partition].records.get(msg.record.key)
+        known = self._store.partitions[partition].records.get(msg.record.key)
         if known is None or known.version <= msg.record.version:
             self._store.put(msg.record, now)
         ack = messages.Replicated(
@@ -269,77 +273,80 @@
         )
         return [core.Send(dst=src, msg=reply)]
 
-    # Repair after a change of view.
+    # Repair after a view change.
 
-    def _enter(self, partition: int, skipped: bool, now: float) -> None:
-        own_range = self._store.ranges.setdefault(partition, store_lib.Range())
-        own_range.answered = set()
-        own_range.refused = set()
+    def _start_repair(self, partition: int, skipped: bool, now: float) -> None:
+        state = self._store.partitions.setdefault(
+            partition, store_lib.PartitionState()
+        )
+        state.synced_owners = set()
+        state.unready_owners = set()
         if not self._view.previous and self.epoch == 1:
-            # The first view of all: no claim can be older.
-            own_range.ready_epoch = self.epoch
+            # No claim can be older than the first view.
+            state.ready_epoch = self.epoch
             return
-        if now < own_range.blind_until:
-            # Lost claims are not found again by a change of view.
-            own_range.ready_epoch = 0
-        self._unrepaired.add(partition)
-        if self._own not in self._old_owners(partition):
+        if now < state.blind_until:
+            # Claims that were lost stay lost after another view change.
+            state.ready_epoch = 0
+        self._unrepaired_partitions.add(partition)
+        if self._own_member not in self._previous_owners(partition):
             return
-        was_ready = own_range.ready_epoch >= self.epoch - 1 and not skipped
+        was_ready = state.ready_epoch >= self.epoch - 1 and not skipped
         if was_ready:
-            own_range.answered.add(self._own)
+            state.synced_owners.add(self._own_member)
         else:
-            own_range.refused.add(self._own)
-        self._judge(partition, now)
+            state.unready_owners.add(self._own_member)
+        self._check_repair(partition, now)
 
-    def _ask_for_records(self, now: float) -> Actions:
-        self._sync_at = now + const.SYNC_RESEND_SECONDS
+    def _request_records(self, now: float) -> Actions:
+        self._next_sync_at = now + const.SYNC_RESEND_SECONDS
         wanted: dict[Member, list[int]] = {}
-        for partition in sorted(self._unrepaired):
-            self._judge(partition, now)
-            own_range = self._store.ranges[partition]
-            heard = own_range.answered | own_range.refused
-            for member in self._old_owners(partition):
-                if member not in heard and partition in self._unrepaired:
+        for partition in sorted(self._unrepaired_partitions):
+            self._check_repair(partition, now)
+            state = self._store.partitions[partition]
+            known_owners = state.synced_owners | state.unready_owners
+            for member in self._previous_owners(partition):
+                if (
+                    member not in known_owners
+                    and partition in self._unrepaired_partitions
+                ):
                     wanted.setdefault(member, []).append(partition)
         return [
             core.Send(
                 dst=name,
                 msg=messages.SyncAsk(
-                    epoch=self.epoch, partitions=tuple(partitions)
+                    epoch=self.epoch, partitions=tuple(indices)
                 ),
             )
-            for (name, _), partitions in wanted.items()
+            for (name, _), indices in wanted.items()
         ]
 
     def _on_sync_ask(
         self, src: str, msg: messages.SyncAsk, now: float
     ) -> Actions:
         if msg.epoch != self.epoch:
-            # Answering before entering the view would let this owner grant
-            # in the old one afterwards.
+            # Answering before entering the view would allow this owner to
+            # grant in the previous one afterwards.
             return []
         ready, unready, records = [], [], []
         for partition in msg.partitions:
-            own_range = self._store.ranges.get(partition)
-            if own_range is None or not self._was_ready(partition):
+            state = self._store.partitions.get(partition)
+            if state is None or not self._was_ready(partition):
                 unready.append(partition)
                 continue
             ready.append(partition)
             records += [
-                record._replace(
-                    remaining=max(own_range.expires[key] - now, 0.0)
-                )
-                for key, record in own_range.records.items()
+                record._replace(remaining=max(state.expires[key] - now, 0.0))
+                for key, record in state.records.items()
             ]
         return _sync_replies(src, self.epoch, ready, unready, records)
 
     def _was_ready(self, partition: int) -> bool:
-        """Tell whether this owner was repaired in the view before."""
-        own_range = self._store.ranges[partition]
+        """Return whether this owner was repaired in the previous view."""
+        state = self._store.partitions[partition]
         return (
-            own_range.ready_epoch >= self.epoch - 1
-            and self._own in self._old_owners(partition)
+            state.ready_epoch >= self.epoch - 1
+            and self._own_member in self._previous_owners(partition)
         )
 
     def _on_sync_reply(
@@ -348,60 +355,62 @@
         if msg.epoch != self.epoch:
             return
         for record in msg.records:
-            partition = ranges.partition_of(record.key)
-            if partition not in self._unrepaired:
+            partition = partitions.partition_index(record.key)
+            if partition not in self._unrepaired_partitions:
                 continue
-            known = self._store.ranges[partition].records.get(record.key)
+            known = self._store.partitions[partition].records.get(record.key)
             if known is None or known.version < record.version:
                 self._store.put(record, now)
         if not msg.last:
             return
         for partition in msg.ready:
-            if partition in self._unrepaired:
-                self._store.ranges[partition].answered.add(member)
-                self._judge(partition, now)
+            if partition in self._unrepaired_partitions:
+                self._store.partitions[partition].synced_owners.add(member)
+                self._check_repair(partition, now)
         for partition in msg.unready:
-            if partition in self._unrepaired:
-                self._store.ranges[partition].refused.add(member)
-                self._judge(partition, now)
+            if partition in self._unrepaired_partitions:
+                self._store.partitions[partition].unready_owners.add(member)
+                self._check_repair(partition, now)
 
-    def _judge(self, partition: int, now: float) -> None:
-        """Decide whether a range is repaired, or its claims may be lost."""
-        if partition not in self._unrepaired:
+    def _check_repair(self, partition: int, now: float) -> None:
+        """Finish the repair, or refuse unknown keys if claims may be lost."""
+        if partition not in self._unrepaired_partitions:
             return
-        own_range = self._store.ranges[partition]
-        old = set(self._old_owners(partition))
-        needed = ranges.majority(len(old))
-        if len(own_range.answered & old) >= needed:
-            self._repaired(partition)
+        state = self._store.partitions[partition]
+        previous = set(self._previous_owners(partition))
+        needed = partitions.majority(len(previous))
+        if len(state.synced_owners & previous) >= needed:
+            self._mark_repaired(partition)
             return
-        lost = own_range.refused & old
-        if now - self._view_at >= const.SYNC_PATIENCE_SECONDS:
-            lost = old - own_range.answered
-        if len(old) - len(lost) >= needed:
+        lost = state.unready_owners & previous
+        if now - self._view_entered_at >= const.SYNC_TIMEOUT_SECONDS:
+            lost = previous - state.synced_owners
+        if len(previous) - len(lost) >= needed:
             return
-        if own_range.blind_until == float("-inf"):
-            # Owners that are cut off may grant until their authority ends,
-            # and such a claim holds for a window after that.
-            own_range.blind_until = now + const.AUTHORITY_SECONDS + self.window
-        if now >= own_range.blind_until:
-            self._repaired(partition)
-
-    def _repaired(self, partition: int) -> None:
-        self._unrepaired.discard(partition)
-        own_range = self._store.ranges[partition]
-        own_range.ready_epoch = self.epoch
-        own_range.blind_until = float("-inf")
-
-    def _old_owners(self, partition: int) -> tuple[Member, ...]:
+        if state.blind_until == float("-inf"):
+            # Unreachable owners may grant until their authority times out,
+            # and such a claim is valid for a window after that.
+            state.blind_until = (
+                now + const.AUTHORITY_TIMEOUT_SECONDS + self.window
+            )
+        if now >= state.blind_until:
+            self._mark_repaired(partition)
+
+    def _mark_repaired(self, partition: int) -> None:
+        self._unrepaired_partitions.discard(partition)
+        state = self._store.partitions[partition]
+        state.ready_epoch = self.epoch
+        state.blind_until = float("-inf")
+
+    def _previous_owners(self, partition: int) -> tuple[Member, ...]:
         if not self._view.previous:
             return ()
-        return ranges.layout(self._view.previous)[partition]
-
-    # Records.
+        return partitions.assign_owners(self._view.previous)[partition]
 
     def _owners(self, key: str) -> tuple[Member, ...]:
-        return ranges.layout(self._view.members)[ranges.partition_of(key)]
+        return partitions.assign_owners(self._view.members)[
+            partitions.partition_index(key)
+        ]
 
 
 def _sync_replies(
--- a/jasperweir/components/claims/messages.py
+++ b/jasperweir/components/claims/messages.py
@@ -10,15 +10,15 @@
 
     Attributes:
         key: Customer and idempotency key.
-        digest: Digest of the request, to tell another body under this key.
+        digest: Digest of the request; it differs for another body.
         rid: Request id of the run that holds the claim.
-        target: Agent that the run is bound to.
+        target: Agent that executes the run.
         target_inc: Incarnation of that agent.
         http: HTTP address of that agent.
-        version: Raised by every change, for compare-and-set.
+        version: Incremented by every change, for compare-and-set.
         state: Claimed or finished.
         code: Result code of the finished run.
-        answer: Recorded answer, empty if it stays with the agent.
+        answer: Recorded answer, empty if only the agent keeps it.
         content_type: Content type of the recorded answer.
         remaining: Seconds until the record may be forgotten.
     """
@@ -39,7 +39,7 @@
 
 @codec.message("claim.ask")
 class Ask(NamedTuple):
-    """Claim a key, or change its record if ``expect`` is its version."""
+    """Request to claim a key, or to change its record at version ``expect``."""
 
     epoch: int
     ask_id: str
@@ -49,7 +49,7 @@
 
 @codec.message("claim.reply")
 class Reply(NamedTuple):
-    """Answer of the range's primary owner."""
+    """Answer of the partition's primary owner."""
 
     epoch: int
     ask_id: str
@@ -59,7 +59,7 @@
 
 @codec.message("claim.replicate")
 class Replicate(NamedTuple):
-    """The primary hands a record to the other owners."""
+    """Request of the primary that another owner store a record."""
 
     epoch: int
     record: Record
@@ -67,7 +67,7 @@
 
 @codec.message("claim.replicated")
 class Replicated(NamedTuple):
-    """A repaired owner holds the record."""
+    """Acknowledgement that a repaired owner stores the record."""
 
     epoch: int
     key: str
@@ -76,7 +76,7 @@
 
 @codec.message("claim.sync_ask")
 class SyncAsk(NamedTuple):
-    """A new owner asks an owner of the view before for its records."""
+    """Request of a new owner for the records of a previous owner."""
 
     epoch: int
     partitions: tuple[int, ...]
@@ -87,9 +87,9 @@
     """Records of some partitions.
 
     Attributes:
-        ready: Partitions for which the sender was repaired in the view
-            before, so that its records count.
-        unready: Partitions for which they do not count.
+        ready: Partitions for which the sender was repaired in the previous
+            view, so that its records are authoritative.
+        unready: Partitions for which its records may be incomplete.
         last: Whether this is the last frame of the answer.
     """
 
--- a/jasperweir/components/claims/store.py
+++ b/jasperweir/components/claims/store.py
@@ -1,23 +1,25 @@
-"""Records of claims by range, and when each may be forgotten."""
+"""Claim records by partition, with their expiry times."""
 
 import dataclasses
 import heapq
 
 from jasperweir.components.claims import messages
-from jasperweir.components.claims import ranges
+from jasperweir.components.claims import partitions
 
-Member = ranges.Member
+Member = partitions.Member
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Range:
-    """State of one range of keys at one owner.
+class PartitionState:
+    """State of one partition of the keys at one owner.
 
     Attributes:
+        records: Records by key.
+        expires: Expiry time of each record, monotonic seconds.
         ready_epoch: Newest view in which this owner was repaired.
-        blind_until: Until then unknown keys cannot be told from lost ones.
-        answered: Old owners whose records count and have come in.
-        refused: Old owners whose records do not count.
+        blind_until: Time until which an unknown key may be a lost claim.
+        synced_owners: Previous owners whose records have been received.
+        unready_owners: Previous owners whose records may be incomplete.
     """
 
     records: dict[str, messages.Record] = dataclasses.field(
@@ -26,19 +28,19 @@
     expires: dict[str, float] = dataclasses.field(default_factory=dict)
     ready_epoch: int = 0
     blind_until: float = float("-inf")
-    answered: set[Member] = dataclasses.field(default_factory=set)
-    refused: set[Member] = dataclasses.field(default_factory=set)
+    synced_owners: set[Member] = dataclasses.field(default_factory=set)
+    unready_owners: set[Member] = dataclasses.field(default_factory=set)
 
 
 class Store:
-    """All ranges that a node holds records of.
+    """All partitions that a node holds records of.
 
     Attributes:
-        ranges: State by the number of the range.
+        partitions: State by the index of the partition.
     """
 
     def __init__(self) -> None:
-        self.ranges: dict[int, Range] = {}
+        self.partitions: dict[int, PartitionState] = {}
         self._expiries: list[tuple[float, str]] = []
         self._count = 0
 
@@ -48,26 +50,26 @@
 
     def get(self, key: str) -> messages.Record | None:
         """Return a key's record."""
-        own_range = self.ranges.get(ranges.partition_of(key))
-        return own_range.records.get(key) if own_range else None
+        state = self.partitions.get(partitions.partition_index(key))
+        return state.records.get(key) if state else None
 
     def put(self, record: messages.Record, now: float) -> None:
-        """Keep a record for the time that it says remains."""
-        own_range = self.ranges[ranges.partition_of(record.key)]
-        if record.key not in own_range.records:
+        """Store a record for its remaining time."""
+        state = self.partitions[partitions.partition_index(record.key)]
+        if record.key not in state.records:
             self._count += 1
-        own_range.records[record.key] = record
+        state.records[record.key] = record
         expires = now + record.remaining
-        own_range.expires[record.key] = expires
+        state.expires[record.key] = expires
         heapq.heappush(self._expiries, (expires, record.key))
 
     def expire(self, now: float) -> None:
-        """Forget what is due."""
+        """Delete records that have expired."""
         while self._expiries and self._expiries[0][0] <= now:
             _, key = heapq.heappop(self._expiries)
-            own_range = self.ranges[ranges.partition_of(key)]
-            # A record that changed since has a later expiry of its own.
-            if own_range.expires.get(key, now + 1) <= now:
-                del own_range.expires[key]
-                del own_range.records[key]
+            state = self.partitions[partitions.partition_index(key)]
+            # A record that was replaced has a later entry in the heap.
+            if state.expires.get(key, now + 1) <= now:
+                del state.expires[key]
+                del state.records[key]
                 self._count -= 1
--- a/jasperweir/components/entry/driver.py
+++ b/jasperweir/components/entry/driver.py
@@ -322,7 +322,7 @@
             self._relay_end = events.Broke(relayed=self._relayed, ended=True)
 
     def _keep(self, chunk: bytes) -> None:
-        if self._relayed <= claim_const.ANSWER_MAX_BYTES:
+        if self._relayed <= claim_const.MAX_ANSWER_BYTES:
             self._kept.append(chunk)
         else:
             self._kept = []
@@ -406,7 +406,7 @@
         if self._stream is None:
             return None
         answer = b"".join(self._kept)
-        if len(answer) > claim_const.ANSWER_MAX_BYTES:
+        if len(answer) > claim_const.MAX_ANSWER_BYTES:
             answer = b""
         return record._replace(
             state=claim_const.STATE_FINISHED,
--- a/script/guards.py
+++ b/script/guards.py
@@ -53,18 +53,18 @@
           "            # An owner that is not repaired must not count.\n"
           "            return []\n", "            pass\n", "claims"),
     Guard("repair before a new view grants", C + "claims/keeper.py",
-          "        if partition in self._unrepaired:\n"
-          "            blind = now < own_range.blind_until\n",
+          "        if partition in self._unrepaired_partitions:\n"
+          "            blind = now < state.blind_until\n",
           "        if False:\n"
-          "            blind = now < own_range.blind_until\n", "claims"),
+          "            blind = now < state.blind_until\n", "claims"),
     Guard("answer a repair only in the new view", C + "claims/keeper.py",
           "        if msg.epoch != self.epoch:\n"
           "            # Answering before",
           "        if False:\n            # Answering before", "claims"),
     Guard("blind after lost owners", C + "claims/keeper.py",
-          "if now >= own_range.blind_until:", "if True:", "claims"),
+          "if now >= state.blind_until:", "if True:", "claims"),
     Guard("authority from control", C + "claims/keeper.py",
-          "return now < self._confirmed_at + const.AUTHORITY_SECONDS",
+          "return now < self._confirmed_at + const.AUTHORITY_TIMEOUT_SECONDS",
           "return True", "claims"),
     Guard("another body under a key", C + "claims/keeper.py",
           "if known.digest != msg.record.digest:", "if False:", "claims"),
--- a/script/slopes.py
+++ b/script/slopes.py
@@ -17,7 +17,7 @@
 from jasperweir.components.bundle import model
 from jasperweir.components.claims import keeper as keeper_lib
 from jasperweir.components.claims import messages as claim_messages
-from jasperweir.components.claims import ranges
+from jasperweir.components.claims import partitions
 from jasperweir.components.config import replica as replica_lib
 from jasperweir.components.config import table as table_lib
 from jasperweir.components.experts import maps
@@ -272,7 +272,7 @@
     row["claim_us"] = (time.process_time() - start) / 20000 * 1e6
     members = tuple((f"entry-{i}", 1, f"p{i % 4}") for i in range(530))
     start = time.process_time()
-    ranges.layout(members)
+    partitions.assign_owners(members)
     row["view_layout_ms_530"] = (time.process_time() - start) * 1000
     print(json.dumps(_rounded(row)), flush=True)
     return row
