--- a/features/harness/matrix.py
+++ b/features/harness/matrix.py
@@ -230,7 +230,7 @@
 
 def membership_cell(tap: Tap) -> None:
     """Joins, a death, a leave and a restart under one fault."""
-    scene = nodes.Nodes(4, 4)
+    scene = nodes.NodeCluster(4, 4)
     table = scene.nodes["e1"].table
     table.log_id = "log"
     table.put("x", b"1", 1)
--- a/features/harness/nodes.py
+++ b/features/harness/nodes.py
@@ -1,4 +1,4 @@
-"""Gossiping entries and announcing agents on a virtual clock."""
+"""Simulated entries and agents of the membership protocol."""
 
 import random
 
@@ -25,8 +25,17 @@
     )
 
 
-class Nodes:
-    """Entries e1.. and agents a1.. with a network that can be cut."""
+class NodeCluster:
+    """Entries e1.. and agents a1.. on a virtual clock and network.
+
+    Attributes:
+        apart: Nodes on one side of a network partition.
+        cuts: Pairs of nodes whose link is cut.
+        down: Nodes that have failed.
+        frozen: Nodes whose process is suspended.
+        sent: Number of messages sent.
+        tap: Called with each message; drops it if it returns true.
+    """
 
     def __init__(self, entries: int, agents: int) -> None:
         self.now = 0.0
@@ -107,7 +116,7 @@
                     self.post(dst, out)
 
     def seen(self, name: str, among: list[str] | None = None) -> set:
-        """Return how live entries see a node."""
+        """Return the statuses that live entries have for a node."""
         found = set()
         for entry in among or self.entries:
             if entry in self.down or entry == name:
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -1,4 +1,4 @@
-"""Steps on membership."""
+"""Steps for membership."""
 
 import random
 
@@ -15,119 +15,122 @@
 
 
 @given("{entries:d} entries and {agents:d} agents")
-def start(context, entries, agents):
-    context.nodes = nodes.Nodes(entries, agents)
+def start_nodes(context, entries, agents):
+    context.cluster = nodes.NodeCluster(entries, agents)
 
 
-@when("{seconds:g} seconds pass among the nodes")
-def passes(context, seconds):
-    context.nodes.run(seconds)
+@when("the nodes run for {seconds:g} seconds")
+def run_nodes(context, seconds):
+    context.cluster.run(seconds)
 
 
 @when('"{one}" and "{two}" die')
-def two_die(context, one, two):
-    context.nodes.down |= {one, two}
+def kill_two_nodes(context, one, two):
+    context.cluster.down |= {one, two}
 
 
 @when('"{name}" dies')
-def dies(context, name):
-    context.nodes.down.add(name)
+def kill_node(context, name):
+    context.cluster.down.add(name)
 
 
 @when('"{name}" starts again')
-def starts(context, name):
-    context.nodes.start(name)
+def start_node(context, name):
+    context.cluster.start(name)
 
 
 @when('"{name}" restarts with a lower incarnation')
-def lower(context, name):
-    context.nodes.inc[name] = 7
-    context.nodes.start(name, inc=8)
-    context.nodes.run(3)
-    context.nodes.start(name, inc=2)
+def restart_with_lower_incarnation(context, name):
+    context.cluster.inc[name] = 7
+    context.cluster.start(name, inc=8)
+    context.cluster.run(3)
+    context.cluster.start(name, inc=2)
 
 
 @then('"{name}" has taken a higher incarnation')
-def higher(context, name):
-    assert context.nodes.nodes[name].member.inc > 8
+def has_higher_incarnation(context, name):
+    assert context.cluster.nodes[name].member.inc > 8
 
 
 @when('"{name}" announces that it leaves')
-def leaves(context, name):
-    scene = context.nodes
-    scene.post(name, scene.nodes[name].leave())
+def announce_leaving(context, name):
+    cluster = context.cluster
+    cluster.post(name, cluster.nodes[name].leave())
 
 
 @when('"{name}" is frozen for {seconds:d} seconds')
-def frozen(context, name, seconds):
-    context.nodes.frozen.add(name)
-    context.nodes.run(seconds)
-    context.nodes.frozen.discard(name)
+def freeze_node(context, name, seconds):
+    context.cluster.frozen.add(name)
+    context.cluster.run(seconds)
+    context.cluster.frozen.discard(name)
 
 
-@when("half of the nodes are apart for {seconds:d} seconds")
-def apart(context, seconds):
-    scene = context.nodes
-    scene.apart = set(scene.entries[::2]) | {
-        n for n in scene.nodes if n.startswith("a") and int(n[1:]) % 2
+@when("the nodes are partitioned into halves for {seconds:d} seconds")
+def partition_nodes(context, seconds):
+    cluster = context.cluster
+    cluster.apart = set(cluster.entries[::2]) | {
+        n for n in cluster.nodes if n.startswith("a") and int(n[1:]) % 2
     }
-    scene.run(seconds)
+    cluster.run(seconds)
 
 
 @then('each half sees the other as "{status}"')
-def halves(context, status):
-    scene = context.nodes
-    here = [e for e in scene.entries if e in scene.apart]
-    for name in set(scene.nodes) - scene.apart:
-        assert scene.seen(name, here) == {Status[status]}, name
-
-
-@when("the halves meet again for {seconds:d} seconds")
-def meet(context, seconds):
-    scene = context.nodes
-    scene.apart = set()
-    before = scene.sent
-    scene.run(seconds)
-    context.healing = scene.sent - before
+def halves_see_status(context, status):
+    cluster = context.cluster
+    one_half = [e for e in cluster.entries if e in cluster.apart]
+    for name in set(cluster.nodes) - cluster.apart:
+        assert cluster.seen(name, one_half) == {Status[status]}, name
+
+
+@when("the partition heals and {seconds:d} seconds pass")
+def heal_partition(context, seconds):
+    cluster = context.cluster
+    cluster.apart = set()
+    before = cluster.sent
+    cluster.run(seconds)
+    context.healing_messages = cluster.sent - before
     context.heal_seconds = seconds
 
 
-@then("the healing took fewer than {count:d} messages a node")
-def no_storm(context, count):
-    scene = context.nodes
-    each = context.healing / len(scene.nodes)
-    assert each < count, each
+@then("fewer than {count:d} messages per node were sent after the partition")
+def check_message_count(context, count):
+    cluster = context.cluster
+    per_node = context.healing_messages / len(cluster.nodes)
+    assert per_node < count, per_node
 
 
 @when("all agents restart")
-def mass_restart(context):
-    scene = context.nodes
-    for name in [n for n in scene.nodes if n.startswith("a")]:
-        scene.start(name)
+def restart_all_agents(context):
+    cluster = context.cluster
+    for name in [n for n in cluster.nodes if n.startswith("a")]:
+        cluster.start(name)
 
 
 @then('every entry sees every node as "{status}"')
-def all_seen(context, status):
-    scene = context.nodes
-    for name in scene.nodes:
-        assert scene.seen(name) == {Status[status]}, (name, scene.seen(name))
+def all_nodes_have_status(context, status):
+    cluster = context.cluster
+    for name in cluster.nodes:
+        assert cluster.seen(name) == {Status[status]}, (
+            name,
+            cluster.seen(name),
+        )
 
 
 @then('every entry sees "{name}" as "{status}"')
-def one_seen(context, name, status):
-    seen = context.nodes.seen(name)
+def node_has_status(context, name, status):
+    seen = context.cluster.seen(name)
     assert seen == {Status[status]}, seen
 
 
-@then('nobody but "{name}" had to refute anything')
-def no_accusation(context, name):
-    roster = context.nodes.nodes["e1"].roster
-    bad = [m.name for m in roster.members() if m.seq and m.name != name]
-    assert not bad, bad
+@then('no node but "{name}" had to refute a failure')
+def no_refutation(context, name):
+    roster = context.cluster.nodes["e1"].roster
+    refuting = [m.name for m in roster.members() if m.seq and m.name != name]
+    assert not refuting, refuting
 
 
-@given("an entry that has just started and knows two others")
-def fresh_entry(context):
+@given("an entry that has just started and knows two other entries")
+def start_fresh_entry(context):
     identity = node_lib.Identity(
         name="e1", place="p", inc=1, addr="e1:1", http="e1:2"
     )
@@ -146,16 +149,16 @@
 
 
 @then("it gives no address answer")
-def no_answer(context):
+def no_address_answer(context):
     answer = context.entry.addresses(service="", place="", salt="s")
     assert answer is None, answer
 
 
 @then(
-    "with a bundle whose answers are kept for {seconds:g} s it names the two "
+    "with a bundle whose answers live for {seconds:g} s it lists both "
     "for {kept:g} s"
 )
-def some_answer(context, seconds, kept):
+def address_answer_with_bundle(context, seconds, kept):
     content = contents.Contents.from_flat(
         {
             "bundle\x1fname": "b",
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -46,8 +46,8 @@
 
 def no_leaving():
     roster, router = scene(3)
-    roster.mark("a1", Status.LEAVING, 0.0)
-    roster.mark("a2", Status.DEAD, 0.0)
+    roster.set_status("a1", Status.LEAVING, 0.0)
+    roster.set_status("a2", Status.DEAD, 0.0)
     assert set(picks(router)) == {"a3"}
 
 
@@ -324,8 +324,8 @@
 
 def leaving_out():
     roster = entries(4)
-    roster.mark("e2", Status.LEAVING, 0.0)
-    roster.mark("e3", Status.SUSPECT, 0.0)
+    roster.set_status("e2", Status.LEAVING, 0.0)
+    roster.set_status("e3", Status.SUSPECT, 0.0)
     names = {a.name for a in answer(roster).addresses}
     assert names == {"e0", "e1"}
 
--- a/jasperweir/components/membership/announcer.py
+++ b/jasperweir/components/membership/announcer.py
@@ -1,4 +1,4 @@
-"""An agent's side of membership: announce, heartbeat, refute, leave."""
+"""Agent side of membership: announcements and heartbeats of one agent."""
 
 from typing import Any
 
@@ -12,13 +12,13 @@
 
 
 class Announcer:
-    """Sans-I/O announcement of one target through its agent.
+    """Sans-I/O announcement of one target by its agent.
 
     Attributes:
-        member: The agent's own record.
-        table: Configuration in its newest known revision.
-        group: Agents of the same group, by name and address.
-        watchers: Entries that watch this agent.
+        member: Record of the agent itself.
+        table: Configuration at its newest known revision.
+        group: Agents of the same group.
+        watchers: Entries that monitor this agent.
     """
 
     def __init__(
@@ -33,68 +33,71 @@
         self.group: tuple[messages.Peer, ...] = ()
         self.watchers: tuple[messages.Peer, ...] = ()
         self._seeds = seeds
-        self._heartbeat_at = 0.0
-        self._lists = 0
-        self._acked: dict[str, float] = {}
-        self._turn = 0
+        self._next_heartbeat_at = 0.0
+        self._lists_digest = 0
+        self._acked_at: dict[str, float] = {}
+        self._seed_index = 0
 
     @property
-    def settled(self) -> bool:
+    def is_acknowledged(self) -> bool:
         """Whether an entry has acknowledged this agent."""
-        return bool(self._acked)
+        return bool(self._acked_at)
 
-    def change(self, **changes: Any) -> Actions:
-        """Change the own record and announce it to all watchers."""
+    def update(self, **changes: Any) -> Actions:
+        """Update the own record and announce it to all watchers."""
         self.member = self.member._replace(seq=self.member.seq + 1, **changes)
         return self._announce_all()
 
     def ready(self, ready: bool) -> Actions:
-        """Announce that the target takes new work, or for now does not."""
+        """Announce whether the target accepts new requests."""
         wanted = Status.ALIVE if ready else Status.JOINING
         if self.member.status in (wanted, Status.LEAVING, Status.LEFT):
             return []
-        return self.change(status=wanted)
+        return self.update(status=wanted)
 
     def leave(self) -> Actions:
-        """Announce that the target takes no new work."""
+        """Announce that the target is leaving and accepts no new requests."""
         if self.member.status >= Status.LEAVING:
             return []
-        return self.change(status=Status.LEAVING)
+        return self.update(status=Status.LEAVING)
 
     def left(self) -> Actions:
-        """Announce that the target has gone by its own will."""
-        return self.change(status=Status.LEFT)
+        """Announce that the target has stopped in an orderly way."""
+        return self.update(status=Status.LEFT)
 
     def tick(self, now: float) -> Actions:
-        """Send the heartbeat that is due."""
-        if now < self._heartbeat_at:
+        """Send heartbeats when they are due."""
+        if now < self._next_heartbeat_at:
             return []
-        self._heartbeat_at = now + const.HEARTBEAT_SECONDS
-        fresh = [
+        self._next_heartbeat_at = now + const.HEARTBEAT_INTERVAL_SECONDS
+        responsive = [
             peer
             for peer in self.watchers
-            if now - self._acked.get(peer.name, now) < const.SUSPECT_SECONDS
+            if now - self._acked_at.get(peer.name, now)
+            < const.SUSPECT_TIMEOUT_SECONDS
         ]
-        if len(fresh) < len(self.watchers) or not self.watchers:
-            # Some watcher is silent: any other entry knows its successor.
-            return self._beat(fresh) + self._announce_to(self._next_seed())
-        return self._beat(fresh)
+        if len(responsive) < len(self.watchers) or not self.watchers:
+            # Any entry can name the successor of a silent watcher.
+            return self._build_heartbeats(responsive) + self._announce_to(
+                self._next_seed()
+            )
+        return self._build_heartbeats(responsive)
 
     def receive(self, src: str, msg: Any, now: float) -> Actions:
         """Handle a watcher's answer."""
         if not isinstance(msg, messages.WatchAck):
             return []
-        self._acked[src] = now
+        self._acked_at[src] = now
         if msg.delta is not None:
             self.table.apply(msg.delta)
-        # A late answer to an earlier heartbeat may name its lists as known.
-        if msg.watchers and msg.lists != self._lists:
-            self._lists = msg.lists
+        # A late answer to an earlier heartbeat may carry the known lists.
+        if msg.watchers and msg.lists != self._lists_digest:
+            self._lists_digest = msg.lists
             self.watchers = msg.watchers
             self.group = msg.group
             names = {peer.name for peer in msg.watchers}
-            self._acked = {
-                name: at for name, at in self._acked.items() if name in names
+            self._acked_at = {
+                name: at for name, at in self._acked_at.items() if name in names
             } or {src: now}
         if not msg.known:
             return self._announce_to(src)
@@ -114,14 +117,14 @@
             return self._announce_all()
         return []
 
-    def _beat(self, peers: list[messages.Peer]) -> Actions:
+    def _build_heartbeats(self, peers: list[messages.Peer]) -> Actions:
         own = self.member
         msg = messages.Heartbeat(
             inc=own.inc,
             seq=own.seq,
             status=own.status,
             revision=self.table.revision,
-            lists=self._lists,
+            lists=self._lists_digest,
         )
         return [core.Send(dst=peer.name, msg=msg) for peer in peers]
 
@@ -138,5 +141,5 @@
         return [core.Send(dst=name, msg=msg)]
 
     def _next_seed(self) -> str:
-        self._turn += 1
-        return self._seeds[self._turn % len(self._seeds)].name
+        self._seed_index += 1
+        return self._seeds[self._seed_index % len(self._seeds)].name
--- a/jasperweir/components/membership/const.py
+++ b/jasperweir/components/membership/const.py
@@ -4,18 +4,18 @@
 KIND_ENTRY = "entry"
 KIND_AGENT = "agent"
 
-# Entries and agents are each watched by this many entries.
-WATCHERS = 3
-HEARTBEAT_SECONDS = 1.0
-SUSPECT_SECONDS = 3.0
-DEAD_SECONDS = 5.0
-# A watcher that has just become one waits before it suspects.
+# Number of entries that monitor each entry and each agent.
+WATCHERS_PER_NODE = 3
+HEARTBEAT_INTERVAL_SECONDS = 1.0
+SUSPECT_TIMEOUT_SECONDS = 3.0
+DEAD_TIMEOUT_SECONDS = 5.0
+# Silence after which a newly assigned watcher suspects a node.
 WATCH_GRACE_SECONDS = 6.0
-DEAD_KEPT_SECONDS = 600.0
+DEAD_RETENTION_SECONDS = 600.0
 
-GOSSIP_SECONDS = 1.0
+GOSSIP_INTERVAL_SECONDS = 1.0
 RUMOR_FANOUT = 3
-# Share of gossip sent to nodes believed dead, so that halves find back.
+# Share of gossip sent to dead nodes, so that a healed partition is found.
 DEAD_GOSSIP_SHARE = 0.1
 BUCKETS = 64
 RECORDS_PER_FRAME = 400
--- a/jasperweir/components/membership/detector.py
+++ b/jasperweir/components/membership/detector.py
@@ -1,4 +1,4 @@
-"""Failure detection by the entries that watch a node."""
+"""Failure detection by the entries that monitor a node."""
 
 from jasperweir.components.membership import const
 from jasperweir.components.membership import messages
@@ -7,75 +7,77 @@
 Status = messages.Status
 
 
-# How much later than others a node that is newly watched is suspected.
-_EXTRA = const.WATCH_GRACE_SECONDS - const.SUSPECT_SECONDS
+# Additional time before a newly monitored node is suspected.
+_EXTRA_GRACE_SECONDS = const.WATCH_GRACE_SECONDS - const.SUSPECT_TIMEOUT_SECONDS
 
 
-class Detector:
-    """Suspect watched nodes that fall silent, then declare them dead."""
+class FailureDetector:
+    """Marks silent monitored nodes as suspect and then as dead."""
 
     def __init__(self, *, roster: roster_lib.Roster) -> None:
         self._roster = roster
-        self._heard: dict[str, float] = {}
+        self._last_heard: dict[str, float] = {}
         self._watched: set[str] = set()
-        self._seen_version = -1
+        self._roster_version = -1
         self._checked_at = float("-inf")
 
-    def heard(self, name: str, now: float) -> None:
-        """Note a sign of life of a node."""
-        self._heard[name] = now
+    def record_heartbeat(self, name: str, now: float) -> None:
+        """Record that a node was heard from."""
+        self._last_heard[name] = now
 
     def tick(self, now: float) -> list[messages.Member]:
-        """Return the records whose health this call changed."""
-        if now - self._checked_at > const.SUSPECT_SECONDS:
-            # This process itself was frozen: its silence proves nothing
-            # about the others.
-            self._forgive(now)
+        """Update the health of monitored nodes; return changed records."""
+        if now - self._checked_at > const.SUSPECT_TIMEOUT_SECONDS:
+            # This process was suspended itself, so the silence proves
+            # nothing about other nodes.
+            self._restart_silence(now)
         self._checked_at = now
-        self._reassign(now)
+        self._update_watched(now)
         changed = []
         for name in self._watched:
-            member = self._check(name, now)
+            member = self._update_status(name, now)
             if member is not None:
                 changed.append(member)
         return changed
 
-    def _check(self, name: str, now: float) -> messages.Member | None:
+    def _update_status(self, name: str, now: float) -> messages.Member | None:
         member = self._roster.get(name)
         if member is None or member.status >= Status.DEAD:
             return None
-        silent = now - self._heard.get(name, now)
-        if silent >= const.DEAD_SECONDS:
+        silence_s = now - self._last_heard.get(name, now)
+        if silence_s >= const.DEAD_TIMEOUT_SECONDS:
             status = Status.DEAD
-        elif silent >= const.SUSPECT_SECONDS:
+        elif silence_s >= const.SUSPECT_TIMEOUT_SECONDS:
             status = Status.SUSPECT
         else:
             return None
         if status <= member.status:
             return None
-        self._roster.mark(name, status, now)
+        self._roster.set_status(name, status, now)
         return self._roster.get(name)
 
-    def _forgive(self, now: float) -> None:
-        # Those who took this process for dead send it nothing yet.
-        for name in self._heard:
-            self._heard[name] = now + _EXTRA
+    def _restart_silence(self, now: float) -> None:
+        # Nodes that consider this process dead send nothing to it yet.
+        for name in self._last_heard:
+            self._last_heard[name] = now + _EXTRA_GRACE_SECONDS
 
-    def _reassign(self, now: float) -> None:
-        if self._roster.version == self._seen_version:
+    def _update_watched(self, now: float) -> None:
+        if self._roster.version == self._roster_version:
             return
-        self._seen_version = self._roster.version
+        self._roster_version = self._roster.version
         own = self._roster.own
         watched = {
             m.name
             for m in self._roster.present()
             if m.kind != const.KIND_CONTROL
             and m.name != own.name
-            and own in self._roster.watchers_of(m.name)
+            and own in self._roster.watchers(m.name)
         }
-        # Signs of life start late for nodes that have just been assigned.
+        # Newly assigned nodes need time to learn of this watcher.
         for name in watched - self._watched:
-            self._heard[name] = max(self._heard.get(name, 0.0), now + _EXTRA)
+            self._last_heard[name] = max(
+                self._last_heard.get(name, 0.0), now + _EXTRA_GRACE_SECONDS
+            )
         for name in self._watched - watched:
-            self._heard.pop(name, None)
+            self._last_heard.pop(name, None)
         self._watched = watched
--- a/jasperweir/components/membership/gossip.py
+++ b/jasperweir/components/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Anti-entropy and rumours for node records and configuration."""
+"""Anti-entropy and rumour spreading of node records and configuration."""
 
 import random
 from typing import Any
@@ -19,13 +19,14 @@
 class Gossip:
     """Sans-I/O membership of an entry or a control VM.
 
-    Digests of a few bytes are exchanged with one random peer a second and
-    full records only where they differ; changes travel at once as rumours.
+    Digests are exchanged with one random peer per gossip interval, and records
+    only where digests differ; changes are also spread at once as rumours.
 
     Attributes:
         roster: Records of all nodes.
-        table: Configuration in its newest known revision.
-        seen_revision: Highest revision that any node has shown.
+        table: Configuration at its newest known revision.
+        detector: Failure detector of the nodes that this entry monitors.
+        seen_revision: Highest configuration revision reported by any node.
     """
 
     def __init__(
@@ -38,11 +39,11 @@
     ) -> None:
         self.roster = roster_lib.Roster(own=own)
         self.table = table
-        self.detector = detector_lib.Detector(roster=self.roster)
+        self.detector = detector_lib.FailureDetector(roster=self.roster)
         self._seeds = [s for s in seeds if s.name != own.name]
         self._rng = rng
-        self._gossip_at = 0.0
-        self._heartbeat_at = 0.0
+        self._next_gossip_at = 0.0
+        self._next_heartbeat_at = 0.0
         self._rumors: dict[str, messages.Member] = {}
         self._rumored_revision = table.revision
         self.seen_revision = 0
@@ -53,29 +54,29 @@
         return [core.Send(dst=seed.name, msg=msg) for seed in self._seeds]
 
     def leave(self) -> Actions:
-        """Announce that this node is leaving, to many at once."""
+        """Announce to several nodes at once that this node is leaving."""
         return self._announce_own(Status.LEAVING)
 
     def left(self) -> Actions:
-        """Announce that this node has gone by its own will."""
+        """Announce that this node has stopped in an orderly way."""
         return self._announce_own(Status.LEFT)
 
     def touch(self, **changes: Any) -> None:
-        """Change the own record and spread it."""
-        self._spread(self.roster.update_own(**changes))
+        """Update the own record and spread it."""
+        self._queue_rumor(self.roster.update_own(**changes))
 
     def tick(self, now: float) -> Actions:
-        """Let time pass: heartbeats, detection, digests and rumours."""
+        """Run heartbeats, failure detection, anti-entropy and rumours."""
         out: Actions = []
         if self.roster.own.kind == const.KIND_ENTRY:
             for member in self.detector.tick(now):
-                self._spread(member)
-            if now >= self._heartbeat_at:
-                self._heartbeat_at = now + const.HEARTBEAT_SECONDS
+                self._queue_rumor(member)
+            if now >= self._next_heartbeat_at:
+                self._next_heartbeat_at = now + const.HEARTBEAT_INTERVAL_SECONDS
                 out += self._heartbeats()
-        if now >= self._gossip_at:
+        if now >= self._next_gossip_at:
             jitter = self._rng.uniform(0.8, 1.2)
-            self._gossip_at = now + const.GOSSIP_SECONDS * jitter
+            self._next_gossip_at = now + const.GOSSIP_INTERVAL_SECONDS * jitter
             self.roster.expire(now)
             out += self._probe()
         return out + self._flush_rumors()
@@ -107,15 +108,15 @@
     # Exchange of digests.
 
     def _probe(self) -> Actions:
-        peer = self._pick()
+        peer = self._choose_peer()
         if peer is None:
             return self.join()
         msg = messages.Probe(
-            revision=self.table.revision, root=self.roster.root()
+            revision=self.table.revision, root=self.roster.root_digest()
         )
         return [core.Send(dst=peer, msg=msg)]
 
-    def _pick(self) -> str | None:
+    def _choose_peer(self) -> str | None:
         own = self.roster.own.name
         gossipers = [
             m
@@ -135,19 +136,20 @@
         self.seen_revision = max(self.seen_revision, msg.revision)
         if msg.revision < self.table.revision:
             out += self._send_delta(src, msg.revision)
-        learns = self.roster.own.kind != const.KIND_CONTROL
-        if learns and msg.revision > self.table.revision:
+        follows_gossip = self.roster.own.kind != const.KIND_CONTROL
+        if follows_gossip and msg.revision > self.table.revision:
             want = messages.WantConfig(revision=self.table.revision)
             out.append(core.Send(dst=src, msg=want))
-        if msg.root != self.roster.root():
+        if msg.root != self.roster.root_digest():
             reply = messages.Buckets(
-                revision=self.table.revision, hashes=self.roster.buckets()
+                revision=self.table.revision,
+                hashes=self.roster.bucket_digests(),
             )
             out.append(core.Send(dst=src, msg=reply))
         return out
 
     def _on_buckets(self, src: str, msg: messages.Buckets) -> Actions:
-        mine = self.roster.buckets()
+        mine = self.roster.bucket_digests()
         differing = tuple(
             index
             for index, (a, b) in enumerate(zip(mine, msg.hashes, strict=False))
@@ -161,8 +163,8 @@
         return [core.Send(dst=src, msg=stamps)]
 
     def _on_stamps(self, src: str, msg: messages.Stamps) -> Actions:
-        out: Actions = _records(src, self.roster.newer_than(msg))
-        if self.roster.lacks(msg):
+        out: Actions = _build_records(src, self.roster.missing_records(msg))
+        if self.roster.is_behind(msg):
             mine = messages.Stamps(
                 buckets=msg.buckets, stamps=self.roster.stamps(msg.buckets)
             )
@@ -171,11 +173,11 @@
 
     def _on_join(self, src: str, msg: messages.Join, now: float) -> Actions:
         self._merge((msg.member,), now)
-        return _records(src, tuple(self.roster.members()))
+        return _build_records(src, tuple(self.roster.members()))
 
     def _on_delta(self, src: str, msg: table_lib.Delta) -> Actions:
         if self.roster.own.kind == const.KIND_CONTROL:
-            # Control VMs learn from the replicated log only.
+            # Control VMs get configuration from the replicated log only.
             return []
         if msg.since > self.table.revision:
             want = messages.WantConfig(revision=self.table.revision)
@@ -191,7 +193,7 @@
             return []
         return [core.Send(dst=dst, msg=self.table.delta(since))]
 
-    # Watched nodes.
+    # Monitored nodes.
 
     def _heartbeats(self) -> Actions:
         own = self.roster.own
@@ -204,7 +206,7 @@
         )
         return [
             core.Send(dst=watcher.name, msg=msg)
-            for watcher in self.roster.watchers_of(own.name)
+            for watcher in self.roster.watchers(own.name)
         ]
 
     def _on_heartbeat(
@@ -213,18 +215,20 @@
         member = self.roster.get(src)
         known = member is not None and member.inc >= msg.inc
         if member is not None and member.inc == msg.inc:
-            self.detector.heard(src, now)
+            self.detector.record_heartbeat(src, now)
         if member is not None and member.kind == const.KIND_AGENT:
-            ack = self._watch_ack(src, known, member, msg.revision, msg.lists)
+            ack = self._build_watch_ack(
+                src, known, member, msg.revision, msg.lists
+            )
             return [ack]
         if member is None:
-            return [self._watch_ack(src, known, None, msg.revision, 0)]
+            return [self._build_watch_ack(src, known, None, msg.revision, 0)]
         if member.inc != msg.inc or member.status in (
             Status.SUSPECT,
             Status.DEAD,
         ):
-            # Show the sender what is believed of it, so that it can refute.
-            return _records(src, (member,))
+            # The sender can refute the record that is held of it.
+            return _build_records(src, (member,))
         return []
 
     def _on_announce(
@@ -233,11 +237,11 @@
         self._merge((msg.member,), now)
         member = self.roster.get(src)
         if member is not None and member.inc == msg.member.inc:
-            self.detector.heard(src, now)
+            self.detector.record_heartbeat(src, now)
         known = member is not None
-        return [self._watch_ack(src, known, member, msg.revision, 0)]
+        return [self._build_watch_ack(src, known, member, msg.revision, 0)]
 
-    def _watch_ack(
+    def _build_watch_ack(
         self,
         src: str,
         known: bool,
@@ -246,10 +250,10 @@
         held_lists: int,
     ) -> core.Send:
         watchers = tuple(
-            messages.Peer(m.name, m.addr) for m in self.roster.watchers_of(src)
+            messages.Peer(m.name, m.addr) for m in self.roster.watchers(src)
         )
-        group = self._group(member)
-        # The lists change rarely and are most of the answer's bytes.
+        group = self._group_peers(member)
+        # The lists rarely change and are most of the size of the answer.
         lists = hashing.checksum(codec.pack((watchers, group)))
         same = lists == held_lists
         delta = None
@@ -267,7 +271,7 @@
         )
         return core.Send(dst=src, msg=ack)
 
-    def _group(
+    def _group_peers(
         self, member: messages.Member | None
     ) -> tuple[messages.Peer, ...]:
         if member is None or not member.group:
@@ -285,9 +289,9 @@
             if self.roster.merge(member, now):
                 current = self.roster.get(member.name)
                 if current is not None:
-                    self._spread(current)
+                    self._queue_rumor(current)
 
-    def _spread(self, member: messages.Member) -> None:
+    def _queue_rumor(self, member: messages.Member) -> None:
         self._rumors[member.name] = member
 
     def _flush_rumors(self) -> Actions:
@@ -297,17 +301,17 @@
             batch = members[: const.RUMOR_RECORDS_PER_FRAME]
             for member in batch:
                 del self._rumors[member.name]
-            for name in self._sample():
-                out += _records(name, batch)
+            for name in self._sample_peers():
+                out += _build_records(name, batch)
         if self.table.revision > self._rumored_revision:
-            # Every frame of a rumour holds the sender's newest revision, so
-            # a receiver that lacks more asks for it by its next probe.
+            # A delta states the sender's newest revision, so a receiver that
+            # lacks an earlier part requests it after its next probe.
             delta = self.table.delta(self._rumored_revision)
             self._rumored_revision = delta.upto
-            out += [core.Send(dst=n, msg=delta) for n in self._sample()]
+            out += [core.Send(dst=n, msg=delta) for n in self._sample_peers()]
         return out
 
-    def _sample(self) -> list[str]:
+    def _sample_peers(self) -> list[str]:
         own = self.roster.own.name
         names = [
             m.name
@@ -323,16 +327,16 @@
             for m in self.roster.present()
             if m.kind != const.KIND_AGENT and m.name != member.name
         ]
-        picked = self._rng.sample(
+        chosen = self._rng.sample(
             names, min(4 * const.RUMOR_FANOUT, len(names))
         )
         return [
             core.Send(dst=name, msg=messages.Records(members=(member,)))
-            for name in picked
+            for name in chosen
         ]
 
 
-def _records(dst: str, members: tuple[messages.Member, ...]) -> Actions:
+def _build_records(dst: str, members: tuple[messages.Member, ...]) -> Actions:
     size = const.RECORDS_PER_FRAME
     return [
         core.Send(
--- a/jasperweir/components/membership/messages.py
+++ b/jasperweir/components/membership/messages.py
@@ -1,4 +1,4 @@
-"""Records of nodes and the messages that spread them."""
+"""Node records and the messages of the membership protocol."""
 
 import enum
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 
 class Status(enum.IntEnum):
-    """Health of a node; a higher one wins at the same sequence number."""
+    """Health of a node; the higher wins at the same sequence number."""
 
     JOINING = 0
     ALIVE = 1
@@ -19,7 +19,14 @@
 
 
 class Offer(NamedTuple):
-    """One service that an agent's target provides."""
+    """One service that an agent's target provides.
+
+    Attributes:
+        service: Name of the service.
+        adapters: Names of the loaded adapters.
+        role: Role of the target for the service, "both" for any.
+        max_in_flight: Number of requests that may run at once.
+    """
 
     service: str
     adapters: tuple[str, ...] = ()
@@ -28,14 +35,20 @@
 
 
 class Member(NamedTuple):
-    """What is known of one node.
+    """Record of one node.
 
     Attributes:
-        inc: Incarnation; a restart takes a higher one.
-        seq: Raised by the node itself to refute or to announce a change.
+        name: Unique name of the node.
+        kind: KIND_CONTROL, KIND_ENTRY or KIND_AGENT.
+        place: Data centre.
+        inc: Incarnation, higher after each restart.
+        seq: Sequence number that only the node itself increments, to announce
+            a change or to refute its failure.
+        status: Health.
         addr: Internal address, ``ip:port``.
         http: HTTP address, ``ip:port``.
-        group: Name of the expert group that the target is part of.
+        offers: Services that the target provides.
+        group: Name of the expert group that the target belongs to.
         ranks: Number of ranks of the group on this target.
     """
 
@@ -53,7 +66,7 @@
 
 
 class Stamp(NamedTuple):
-    """Freshness of one record."""
+    """Version of one record."""
 
     name: str
     inc: int
@@ -63,7 +76,7 @@
 
 @codec.message("member.join")
 class Join(NamedTuple):
-    """A node starts and asks a seed for all records."""
+    """Request of a starting node to a seed for all records."""
 
     member: Member
 
@@ -77,7 +90,7 @@
 
 @codec.message("member.probe")
 class Probe(NamedTuple):
-    """Root digest of the sender's records and its configuration."""
+    """Digest of all records and the configuration revision of the sender."""
 
     revision: int
     root: int
@@ -85,7 +98,7 @@
 
 @codec.message("member.buckets")
 class Buckets(NamedTuple):
-    """Digest of each bucket, sent when roots differ."""
+    """Digest of each bucket, sent when the root digests differ."""
 
     revision: int
     hashes: tuple[int, ...]
@@ -93,7 +106,7 @@
 
 @codec.message("member.stamps")
 class Stamps(NamedTuple):
-    """Freshness of all records in some buckets; asks for newer ones."""
+    """Versions of all records in some buckets; requests newer records."""
 
     buckets: tuple[int, ...]
     stamps: tuple[Stamp, ...]
@@ -101,17 +114,21 @@
 
 @codec.message("member.want_config")
 class WantConfig(NamedTuple):
-    """Ask for configuration changes after a revision."""
+    """Request for configuration changes after a revision."""
 
     revision: int
 
 
 @codec.message("member.heartbeat")
 class Heartbeat(NamedTuple):
-    """A watched node tells a watcher that it lives.
+    """Heartbeat of a node to one of its watchers.
 
     Attributes:
-        lists: Digest of the lists of the last answer; 0 asks for them.
+        inc: Incarnation of the sender.
+        seq: Sequence number of its record.
+        status: Health in its record.
+        revision: Configuration revision of the sender.
+        lists: Digest of the lists in the last answer; 0 requests them.
     """
 
     inc: int
@@ -123,7 +140,7 @@
 
 @codec.message("member.announce")
 class Announce(NamedTuple):
-    """An agent announces its whole record to an entry."""
+    """Full record of an agent, sent to an entry."""
 
     member: Member
     revision: int
@@ -145,10 +162,10 @@
         seen_inc: Incarnation under which the agent is known.
         seen_seq: Sequence number under which it is known.
         status: Health under which it is known.
-        lists: Digest of the two lists; they are empty if the agent's
-            heartbeat named the same digest.
-        watchers: Entries to which the agent should send heartbeats.
-        group: Agents of the same group, for its coordinator.
+        lists: Digest of the two lists, which are empty if the agent's
+            heartbeat had the same digest.
+        watchers: Entries to which the agent sends heartbeats.
+        group: Agents of the same group, needed by its coordinator.
         delta: Configuration that the agent lacks, or None.
     """
 
--- a/jasperweir/components/membership/roster.py
+++ b/jasperweir/components/membership/roster.py
@@ -10,22 +10,22 @@
 Status = messages.Status
 
 
-def newer(a: messages.Member, b: messages.Member) -> bool:
-    """Tell whether record ``a`` replaces record ``b`` of the same node."""
+def supersedes(a: messages.Member, b: messages.Member) -> bool:
+    """Return whether record ``a`` replaces record ``b`` of the same node."""
     return (a.inc, a.seq, a.status) > (b.inc, b.seq, b.status)
 
 
 class Roster:
-    """All records that a node holds, its own included.
+    """All node records known to a node, including its own.
 
     Attributes:
-        version: Grows with every change, for caches built on the records.
+        version: Incremented by every change, for cache invalidation.
     """
 
     def __init__(self, *, own: messages.Member) -> None:
         self.version = 0
         self._members: dict[str, messages.Member] = {}
-        self._hashes = [0] * const.BUCKETS
+        self._bucket_digests = [0] * const.BUCKETS
         self._dead_since: dict[str, float] = {}
         self._own_name = own.name
         self._ring = hashing.Ring(names=())
@@ -35,43 +35,43 @@
 
     @property
     def own(self) -> messages.Member:
-        """This node's own record."""
+        """Record of this node itself."""
         return self._members[self._own_name]
 
     def get(self, name: str) -> messages.Member | None:
-        """Return a node's record."""
+        """Return a node's record, or None if it is unknown."""
         return self._members.get(name)
 
     def members(self, kind: str = "") -> list[messages.Member]:
         """Return all records, or those of one kind."""
         return [m for m in self._members.values() if not kind or m.kind == kind]
 
-    def watchers_of(self, name: str) -> list[messages.Member]:
-        """Return the entries that watch a node."""
+    def watchers(self, name: str) -> list[messages.Member]:
+        """Return the entries that monitor a node."""
         if self._ring_version != self._entries_version:
             self._ring_version = self._entries_version
             entries = [m.name for m in self.present(const.KIND_ENTRY)]
             self._ring = hashing.Ring(names=entries)
-        names = self._ring.after(name, const.WATCHERS)
+        names = self._ring.after(name, const.WATCHERS_PER_NODE)
         return [self._members[watcher] for watcher in names]
 
     def present(self, kind: str = "") -> list[messages.Member]:
-        """Return records of nodes that are not believed gone."""
+        """Return records of nodes that are neither dead nor stopped."""
         return [m for m in self.members(kind) if m.status < Status.DEAD]
 
     def update_own(self, **changes: Any) -> messages.Member:
-        """Change the own record and raise its sequence number."""
+        """Update the own record and increment its sequence number."""
         own = self.own
         member = own._replace(seq=own.seq + 1, **changes)
         self._store(member)
         return member
 
     def merge(self, member: messages.Member, now: float) -> bool:
-        """Take in a record if it is newer; tell whether anything changed."""
+        """Store a record if it is newer; return whether anything changed."""
         if member.name == self._own_name:
             return self._refute(member)
         known = self._members.get(member.name)
-        if known is not None and not newer(member, known):
+        if known is not None and not supersedes(member, known):
             return False
         self._store(member)
         if member.status >= Status.DEAD:
@@ -80,7 +80,7 @@
             self._dead_since.pop(member.name, None)
         return True
 
-    def mark(self, name: str, status: Status, now: float) -> bool:
+    def set_status(self, name: str, status: Status, now: float) -> bool:
         """Set another node's health at its current sequence number."""
         known = self._members.get(name)
         if known is None:
@@ -88,33 +88,33 @@
         return self.merge(known._replace(status=status), now)
 
     def expire(self, now: float) -> None:
-        """Forget nodes that have been gone for long."""
+        """Delete records of nodes that have been gone for a long time."""
         for name, since in list(self._dead_since.items()):
-            if now - since >= const.DEAD_KEPT_SECONDS:
-                self._toggle(self._members.pop(name))
+            if now - since >= const.DEAD_RETENTION_SECONDS:
+                self._toggle_digest(self._members.pop(name))
                 del self._dead_since[name]
                 self.version += 1
 
-    def root(self) -> int:
+    def root_digest(self) -> int:
         """Return the digest of all records."""
         return hashing.checksum(
-            b"".join(h.to_bytes(8, "little") for h in self._hashes)
+            b"".join(h.to_bytes(8, "little") for h in self._bucket_digests)
         )
 
-    def buckets(self) -> tuple[int, ...]:
+    def bucket_digests(self) -> tuple[int, ...]:
         """Return the digest of each bucket, 32 bits each."""
-        return tuple(h & 0xFFFFFFFF for h in self._hashes)
+        return tuple(h & 0xFFFFFFFF for h in self._bucket_digests)
 
     def stamps(self, buckets: Iterable[int]) -> tuple[messages.Stamp, ...]:
-        """Return the freshness of the records in some buckets."""
+        """Return the versions of the records in some buckets."""
         wanted = set(buckets)
         return tuple(
             messages.Stamp(m.name, m.inc, m.seq, m.status)
             for m in self._members.values()
-            if _bucket(m.name) in wanted
+            if _bucket_index(m.name) in wanted
         )
 
-    def newer_than(
+    def missing_records(
         self, stamps: messages.Stamps
     ) -> tuple[messages.Member, ...]:
         """Return records that the sender of the stamps lacks."""
@@ -123,12 +123,12 @@
         return tuple(
             m
             for m in self._members.values()
-            if _bucket(m.name) in wanted
+            if _bucket_index(m.name) in wanted
             and (m.inc, m.seq, m.status) > theirs.get(m.name, (-1, 0, 0))
         )
 
-    def lacks(self, stamps: messages.Stamps) -> bool:
-        """Tell whether the sender of the stamps holds newer records."""
+    def is_behind(self, stamps: messages.Stamps) -> bool:
+        """Return whether the sender of the stamps has newer records."""
         for s in stamps.stamps:
             mine = self._members.get(s.name)
             if mine is None and s.status >= Status.DEAD:
@@ -141,10 +141,10 @@
 
     def _refute(self, member: messages.Member) -> bool:
         own = self.own
-        if not newer(member, own):
+        if not supersedes(member, own):
             return False
-        # Another process ran under this name, or peers believe this one
-        # gone: outbid the rumour, it is about this node.
+        # Another process used this name, or peers consider this node failed;
+        # a higher incarnation or sequence number overrides that record.
         inc = own.inc if member.inc == own.inc else member.inc + 1
         seq = max(member.seq, own.seq) + 1
         self._store(own._replace(inc=inc, seq=seq))
@@ -155,16 +155,16 @@
         if member.kind == const.KIND_ENTRY and _presence_differs(old, member):
             self._entries_version += 1
         if old is not None:
-            self._toggle(old)
+            self._toggle_digest(old)
         self._members[member.name] = member
-        self._toggle(member)
+        self._toggle_digest(member)
         self.version += 1
 
-    def _toggle(self, member: messages.Member) -> None:
-        """Add a record to its bucket's digest, or take it out again."""
+    def _toggle_digest(self, member: messages.Member) -> None:
+        """Add a record to its bucket's digest, or remove it by XOR."""
         stamp = f"{member.name}\x00{member.inc}\x00{member.seq}"
         digest = hashing.stable(f"{stamp}\x00{int(member.status)}")
-        self._hashes[_bucket(member.name)] ^= digest
+        self._bucket_digests[_bucket_index(member.name)] ^= digest
 
 
 def _presence_differs(
@@ -174,5 +174,5 @@
     return before != (new.status < Status.DEAD)
 
 
-def _bucket(name: str) -> int:
+def _bucket_index(name: str) -> int:
     return hashing.stable(name) % const.BUCKETS
