--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -1,4 +1,4 @@
-"""Steps on routing, admission and address answers."""
+"""Steps for routing, admission and address answers."""
 
 import collections
 import random
@@ -17,10 +17,10 @@
 
 Status = messages.Status
 Code = result_codes.Code
-QUERY = router_lib.Query(service="s")
+QUERY = router_lib.TargetQuery(service="s")
 
 
-def scene(count=6, place="p"):
+def create_router(count=6, place="p"):
     roster = roster_lib.Roster(own=nodes.member("e1", "entry"))
     for i in range(1, count + 1):
         roster.merge(nodes.member(f"a{i}", "agent", place=place), 0.0)
@@ -30,280 +30,291 @@
     return roster, router
 
 
-def picks(router, now=100.0, count=300, query=QUERY):
+def count_choices(router, now=100.0, count=300, query=QUERY):
     found = [router.choose(query, (), now) for _ in range(count)]
     return collections.Counter(m.name for m in found if m)
 
 
-def only_fitting():
-    roster, router = scene(2)
+def check_matching_targets():
+    roster, router = create_router(2)
     other = nodes.member("a9", "agent")
     other = other._replace(offers=(messages.Offer("other"),))
     roster.merge(other, 0.0)
-    assert set(picks(router)) == {"a1", "a2"}
+    assert set(count_choices(router)) == {"a1", "a2"}
     assert router.choose(QUERY, ("a1", "a2"), 0.0) is None
 
 
-def no_leaving():
-    roster, router = scene(3)
+def check_leaving_and_dead_targets():
+    roster, router = create_router(3)
     roster.set_status("a1", Status.LEAVING, 0.0)
     roster.set_status("a2", Status.DEAD, 0.0)
-    assert set(picks(router)) == {"a3"}
+    assert set(count_choices(router)) == {"a3"}
 
 
-def idle_preferred():
-    _, router = scene(3)
+def check_idle_target():
+    _, router = create_router(3)
     for _ in range(20):
-        router.started("a1", QUERY, 100.0)
-        router.started("a2", QUERY, 100.0)
-    assert picks(router).most_common(1)[0] == ("a3", 300)
+        router.record_start("a1", QUERY, 100.0)
+        router.record_start("a2", QUERY, 100.0)
+    assert count_choices(router).most_common(1)[0] == ("a3", 300)
 
 
-def stale_report():
-    _, router = scene(2)
+def check_stale_report():
+    _, router = create_router(2)
     for name in ("a1", "a2"):
-        router.reported(name, active=0, skew=0.0, switching=False, now=100.0)
+        router.update_load(name, active=0, skew=0.0, switching=False, now=100.0)
     sent = collections.Counter()
     for _ in range(40):
         name = router.choose(QUERY, (), 101.0).name
-        router.started(name, QUERY, 101.0)
+        router.record_start(name, QUERY, 101.0)
         sent[name] += 1
     assert abs(sent["a1"] - sent["a2"]) <= 2, sent
 
 
-def refusal():
-    _, router = scene(3)
-    router.refused("a1", 100.0)
-    assert "a1" not in picks(router, 100.1)
-    assert "a1" in picks(router, 100.5)
-    router.started("a1", QUERY, 100.5)
-    router.refused("a1", 100.5)
-    router.ended("a1", 100.5)
-    assert "a1" not in picks(router, 100.9)
-    router.started("a1", QUERY, 102.0)
-    router.ended("a1", 102.0)
-    # One request goes first.
-    assert "a1" not in picks(router, 102.1)
-    router.succeeded("a1", 0.1, 102.2)
-    assert "a1" in picks(router, 102.2)
-
-
-def refusal_of_all():
-    _, router = scene(3)
+def check_refusal():
+    _, router = create_router(3)
+    router.record_refusal("a1", 100.0)
+    assert "a1" not in count_choices(router, 100.1)
+    assert "a1" in count_choices(router, 100.5)
+    router.record_start("a1", QUERY, 100.5)
+    router.record_refusal("a1", 100.5)
+    router.record_end("a1", 100.5)
+    assert "a1" not in count_choices(router, 100.9)
+    router.record_start("a1", QUERY, 102.0)
+    router.record_end("a1", 102.0)
+    # Only one trial request is sent first.
+    assert "a1" not in count_choices(router, 102.1)
+    router.record_success("a1", 0.1, 102.2)
+    assert "a1" in count_choices(router, 102.2)
+
+
+def check_refusal_by_all():
+    _, router = create_router(3)
     for name in ("a1", "a2", "a3"):
-        router.refused(name, 100.0)
-    assert len(picks(router, 100.1)) == 3
+        router.record_refusal(name, 100.0)
+    assert len(count_choices(router, 100.1)) == 3
 
 
-def refusal_of_before():
-    roster, router = scene(3)
-    router.refused("a1", 100.0)
+def check_old_refusals():
+    roster, router = create_router(3)
+    router.record_refusal("a1", 100.0)
     roster.merge(nodes.member("a1", "agent", inc=2), 100.0)
-    assert not router.state("a1", 100.1).asked.is_avoided(100.1)
+    assert not router.target_state("a1", 100.1).refusals.is_avoided(100.1)
 
 
-def feed(router, slow, now):
+def record_successes(router, slow, now):
     for _ in range(10):
         for i in range(1, 7):
             name = f"a{i}"
-            router.succeeded(name, 1.0 if name in slow else 0.1, now)
-
-
-def straggler():
-    _, router = scene()
-    feed(router, {"a1"}, 100.0)
-    assert "a1" not in picks(router, 101.0)
-    back = 100.0 + const.EJECT_SECONDS
-    assert router.state("a1", back).ramp(back + 0.1) < 0.3
-    assert "a1" in picks(router, back + const.SLOW_START_SECONDS, 2000)
+            router.record_success(name, 1.0 if name in slow else 0.1, now)
+
+
+def check_straggler():
+    _, router = create_router()
+    record_successes(router, {"a1"}, 100.0)
+    assert "a1" not in count_choices(router, 101.0)
+    ejection_end = 100.0 + const.EJECT_SECONDS
+    assert (
+        router.target_state("a1", ejection_end).capacity_share(
+            ejection_end + 0.1
+        )
+        < 0.3
+    )
+    assert "a1" in count_choices(
+        router, ejection_end + const.SLOW_START_SECONDS, 2000
+    )
 
 
-def ejection_floor():
-    _, router = scene()
+def check_ejection_limit():
+    _, router = create_router()
     for i in range(1, 7):
         for _ in range(const.EJECT_FAILURES):
-            router.failed(f"a{i}", 100.0)
-    assert len(picks(router, 100.1, 2000)) >= 4
+            router.record_failure(f"a{i}", 100.0)
+    assert len(count_choices(router, 100.1, 2000)) >= 4
 
 
-def slow_start():
-    roster, router = scene()
-    router.state("a1", 0.0)
+def check_slow_start():
+    roster, router = create_router()
+    router.target_state("a1", 0.0)
     roster.merge(nodes.member("a1", "agent", inc=2), 100.0)
-    state = router.state("a1", 100.0)
-    assert state.ramp(100.0) < 0.3 and state.ramp(200.0) == 1.0
+    state = router.target_state("a1", 100.0)
+    assert (
+        state.capacity_share(100.0) < 0.3 and state.capacity_share(200.0) == 1.0
+    )
 
 
-def affinity():
-    _, router = scene()
+def check_prefix_affinity():
+    _, router = create_router()
     query = QUERY._replace(prefix=77)
-    router.cached("a4", (77,))
-    assert picks(router, query=query).most_common(1)[0][0] == "a4"
+    router.update_cached_prefixes("a4", (77,))
+    assert count_choices(router, query=query).most_common(1)[0][0] == "a4"
     for _ in range(40):
-        router.started("a4", QUERY, 100.0)
-    assert "a4" not in picks(router, query=query)
+        router.record_start("a4", QUERY, 100.0)
+    assert "a4" not in count_choices(router, query=query)
 
 
-def subset():
-    _, router = scene(100)
-    assert len(router.candidates(QUERY)) == const.SUBSET
-    assert router.slots(QUERY) == 100 * 64
-    _, far = scene(100, place="q")
-    assert len(far.candidates(QUERY)) == const.SUBSET
+def check_subset():
+    _, router = create_router(100)
+    assert len(router.candidates(QUERY)) == const.MAX_CANDIDATES
+    assert router.total_slots(QUERY) == 100 * 64
+    _, remote = create_router(100, place="q")
+    assert len(remote.candidates(QUERY)) == const.MAX_CANDIDATES
 
 
-def own_place():
-    roster, router = scene(4)
+def check_local_preference():
+    roster, router = create_router(4)
     for i in range(5, 9):
         roster.merge(nodes.member(f"a{i}", "agent", place="q"), 0.0)
-    count = picks(router, count=2000)
-    near = sum(count[f"a{i}"] for i in range(1, 5))
-    assert near > 0.8 * 2000, count
-
-
-ROUTING = {
-    "only living targets that offer the service": only_fitting,
-    "a leaving or dead target gets nothing": no_leaving,
-    "an idle target is preferred": idle_preferred,
-    "own requests correct a stale report": stale_report,
-    "a target that refuses is avoided for a while": refusal,
-    "all are tried if all refuse": refusal_of_all,
-    "a new incarnation has refused nothing": refusal_of_before,
-    "a straggler is ejected and comes back slowly": straggler,
-    "a fault of all ejects at most a third": ejection_floor,
-    "a new incarnation starts slowly": slow_start,
-    "a prefix goes home until home is full": affinity,
-    "state is kept for a subset only": subset,
-    "the own place is preferred": own_place,
+    choices = count_choices(router, count=2000)
+    local = sum(choices[f"a{i}"] for i in range(1, 5))
+    assert local > 0.8 * 2000, choices
+
+
+ROUTING_RULES = {
+    "only live targets with the service are chosen": check_matching_targets,
+    "a leaving or dead target gets no requests": check_leaving_and_dead_targets,
+    "an idle target is preferred": check_idle_target,
+    "own requests correct a stale report": check_stale_report,
+    "a target that refuses is avoided for a while": check_refusal,
+    "all targets are tried if all refuse": check_refusal_by_all,
+    "refusals of an old incarnation are dropped": check_old_refusals,
+    "a straggler is ejected and returns slowly": check_straggler,
+    "a fault of all targets ejects at most a third": check_ejection_limit,
+    "a new incarnation starts slowly": check_slow_start,
+    "a cached prefix attracts requests up to a load": check_prefix_affinity,
+    "state is kept for a subset only": check_subset,
+    "the local data centre is preferred": check_local_preference,
 }
 
 
-@then("routing holds: {rule}")
-def routing(context, rule):
-    ROUTING[rule]()
+@then("this rule of routing holds: {rule}")
+def check_routing_rule(context, rule):
+    ROUTING_RULES[rule]()
 
 
-def admission(limit=2):
-    return admission_lib.Admission(limit=limit, rng=random.Random(1))
+def create_queue(limit=2):
+    return admission_lib.AdmissionQueue(limit=limit, rng=random.Random(1))
 
 
-def ticket(rid, customer="c", weight=1.0, deadline=60.0, priority=5):
-    return admission_lib.Ticket(rid, customer, weight, priority, deadline, 0.1)
+def create_request(rid, customer="c", weight=1.0, deadline=60.0, priority=5):
+    return admission_lib.AdmissionRequest(
+        rid, customer, weight, priority, deadline, 0.1
+    )
 
 
-def room():
-    gate = admission()
-    assert gate.offer(ticket("a"), 0.0) == admission_lib.Admit("a")
-    gate.offer(ticket("b"), 0.0)
-    assert gate.offer(ticket("c"), 0.0) == admission_lib.Queued("c")
-    assert gate.release("a", 1.0) == [admission_lib.Admit("c")]
+def check_free_limit():
+    queue = create_queue()
+    assert queue.submit(create_request("a"), 0.0) == admission_lib.Admit("a")
+    queue.submit(create_request("b"), 0.0)
+    assert queue.submit(create_request("c"), 0.0) == admission_lib.Queued("c")
+    assert queue.release("a", 1.0) == [admission_lib.Admit("c")]
 
 
-def too_near():
-    gate = admission()
-    verdict = gate.offer(ticket("a", deadline=0.05), 0.0)
+def check_near_deadline():
+    queue = create_queue()
+    verdict = queue.submit(create_request("a", deadline=0.05), 0.0)
     assert verdict.code == Code.DEADLINE_TOO_NEAR and verdict.retry_after > 0
 
 
-def fill(gate, count=2):
+def fill_queue(queue, count=2):
     for i in range(count):
-        gate.offer(ticket(f"f{i}"), 0.0)
+        queue.submit(create_request(f"f{i}"), 0.0)
 
 
-def hopeless():
-    gate = admission()
-    fill(gate)
-    assert gate.offer(ticket("q", deadline=5.0), 0.0) == (
+def check_late_request():
+    queue = create_queue()
+    fill_queue(queue)
+    assert queue.submit(create_request("q", deadline=5.0), 0.0) == (
         admission_lib.Queued("q")
     )
-    assert gate.poll(4.0) == []
-    out = gate.poll(4.95)
+    assert queue.poll(4.0) == []
+    out = queue.poll(4.95)
     assert [v.code for v in out] == [Code.DEADLINE_TOO_NEAR], out
-    assert gate.waiting == 0
+    assert queue.waiting == 0
 
 
-def full_queue():
-    gate = admission(4)
+def check_full_queue():
+    queue = create_queue(4)
     verdicts = [
-        gate.offer(ticket(f"r{i}", customer=f"c{i % 3}"), 0.0)
+        queue.submit(create_request(f"r{i}", customer=f"c{i % 3}"), 0.0)
         for i in range(40)
     ]
     refused = [v for v in verdicts if isinstance(v, admission_lib.Refuse)]
     assert refused and all(v.retry_after > 0 for v in refused)
-    assert gate.waiting <= 16
+    assert queue.waiting <= 16
 
 
-def flood():
-    gate = admission(2)
-    fill(gate)
+def check_flood():
+    queue = create_queue(2)
+    fill_queue(queue)
     for i in range(200):
-        gate.offer(ticket(f"big{i}", "big"), 0.0)
-    small = gate.offer(ticket("small", "small"), 0.0)
+        queue.submit(create_request(f"big{i}", "big"), 0.0)
+    small = queue.submit(create_request("small", "small"), 0.0)
     assert small == admission_lib.Queued("small"), small
-    first = gate.release("f0", 1.0) + gate.release("f1", 1.0)
+    first = queue.release("f0", 1.0) + queue.release("f1", 1.0)
     assert admission_lib.Admit("small") in first, first
 
 
-def weights():
-    gate = admission(4)
-    fill(gate, 4)
+def check_weights():
+    queue = create_queue(4)
+    fill_queue(queue, 4)
     served = collections.Counter()
     active = collections.deque(f"f{i}" for i in range(4))
     for i in range(400):
-        gate.offer(ticket(f"x{i}", "heavy", 3.0, 1e6), 0.0)
-        gate.offer(ticket(f"y{i}", "light", 1.0, 1e6), 0.0)
-        for verdict in gate.release(active.popleft(), 0.0):
+        queue.submit(create_request(f"x{i}", "heavy", 3.0, 1e6), 0.0)
+        queue.submit(create_request(f"y{i}", "light", 1.0, 1e6), 0.0)
+        for verdict in queue.release(active.popleft(), 0.0):
             active.append(verdict.rid)
             served[verdict.rid[0]] += 1
     ratio = served["x"] / served["y"]
     assert 2.5 < ratio < 3.5, served
 
 
-def urgent():
-    gate = admission(1)
-    fill(gate, 1)
-    gate.offer(ticket("later", "a", priority=9), 0.0)
-    gate.offer(ticket("now", "b", priority=0), 0.0)
-    assert gate.release("f0", 1.0) == [admission_lib.Admit("now")]
+def check_priority():
+    queue = create_queue(1)
+    fill_queue(queue, 1)
+    queue.submit(create_request("later", "a", priority=9), 0.0)
+    queue.submit(create_request("now", "b", priority=0), 0.0)
+    assert queue.release("f0", 1.0) == [admission_lib.Admit("now")]
 
 
-def left():
-    gate = admission(1)
-    fill(gate, 1)
-    gate.offer(ticket("q"), 0.0)
-    gate.withdraw("q")
-    assert gate.release("f0", 1.0) == []
+def check_cancel():
+    queue = create_queue(1)
+    fill_queue(queue, 1)
+    queue.submit(create_request("q"), 0.0)
+    queue.cancel("q")
+    assert queue.release("f0", 1.0) == []
 
 
-def budget():
-    tokens = retry.Budget()
+def check_retry_budget():
+    retries = retry.Budget()
     for _ in range(50):
-        tokens.spend()
+        retries.spend()
     for _ in range(100):
-        tokens.first_try()
-    spent = sum(tokens.spend() for _ in range(50))
-    assert 9 <= spent <= 10, spent
-
-
-ADMISSION = {
-    "room means at once": room,
-    "a deadline too near is refused at once": too_near,
-    "a queued request is refused when hopeless": hopeless,
-    "a full queue refuses with a time": full_queue,
-    "a flood does not starve the small": flood,
-    "shares follow weights": weights,
-    "urgent ones go first": urgent,
-    "a caller that left frees its place": left,
-    "retries are a tenth of first tries": budget,
+        retries.first_try()
+    allowed = sum(retries.spend() for _ in range(50))
+    assert 9 <= allowed <= 10, allowed
+
+
+ADMISSION_RULES = {
+    "a request is admitted at once below the limit": check_free_limit,
+    "a deadline that is too near is refused at once": check_near_deadline,
+    "a queued request is refused once it is late": check_late_request,
+    "a full queue refuses with a retry time": check_full_queue,
+    "a flood does not starve other customers": check_flood,
+    "shares follow weights": check_weights,
+    "urgent requests are served first": check_priority,
+    "a cancelled request frees its place": check_cancel,
+    "retries are a tenth of first attempts": check_retry_budget,
 }
 
 
-@then("admission holds: {rule}")
-def admission_rule(context, rule):
-    ADMISSION[rule]()
+@then("this rule of admission holds: {rule}")
+def check_admission_rule(context, rule):
+    ADMISSION_RULES[rule]()
 
 
-def answer(roster, salt="x", place="p", service=""):
+def build_answer(roster, salt="x", place="p", service=""):
     return answer_lib.build(
         roster=roster,
         service=service,
@@ -314,7 +325,7 @@
     )
 
 
-def entries(count, places=("p",)):
+def create_entries(count, places=("p",)):
     roster = roster_lib.Roster(own=nodes.member("e0", "entry"))
     for i in range(1, count):
         place = places[i % len(places)]
@@ -322,52 +333,52 @@
     return roster
 
 
-def leaving_out():
-    roster = entries(4)
+def check_unavailable_entries():
+    roster = create_entries(4)
     roster.set_status("e2", Status.LEAVING, 0.0)
     roster.set_status("e3", Status.SUSPECT, 0.0)
-    names = {a.name for a in answer(roster).addresses}
+    names = {a.name for a in build_answer(roster).addresses}
     assert names == {"e0", "e1"}
 
 
-def near():
-    found = answer(entries(30, ("p", "q", "z")))
+def check_local_weight():
+    found = build_answer(create_entries(30, ("p", "q", "z")))
     weights_by_place = {a.place: a.weight for a in found.addresses}
     assert weights_by_place["p"] > max(
         w for p, w in weights_by_place.items() if p != "p"
     )
-    assert len(found.addresses) == answer_lib.ANSWER_ENTRIES
+    assert len(found.addresses) == answer_lib.MAX_ANSWER_ENTRIES
 
 
-def spread():
-    roster = entries(12)
+def check_spread():
+    roster = create_entries(12)
     count = collections.Counter(
         a.name
         for i in range(600)
-        for a in answer(roster, salt=str(i)).addresses
+        for a in build_answer(roster, salt=str(i)).addresses
     )
     assert len(count) == 12
     assert max(count.values()) < 1.4 * min(count.values()), count
 
 
-def shard():
-    roster = entries(200, ("p", "q"))
+def check_shard():
+    roster = create_entries(200, ("p", "q"))
     names = {
         a.name
         for i in range(200)
-        for a in answer(roster, salt=str(i), service="s").addresses
+        for a in build_answer(roster, salt=str(i), service="s").addresses
     }
     assert len(names) <= answer_lib.SHARD_ENTRIES, len(names)
 
 
-ADDRESSES = {
-    "a leaving entry is left out": leaving_out,
-    "near entries weigh more, far ones stay in": near,
-    "callers spread": spread,
-    "a service keeps to its shard": shard,
+ADDRESS_RULES = {
+    "leaving and suspect entries are not listed": check_unavailable_entries,
+    "local entries weigh more, others are included": check_local_weight,
+    "callers are spread over entries": check_spread,
+    "a service keeps to its shard": check_shard,
 }
 
 
-@then("the address answer holds: {rule}")
-def address_rule(context, rule):
-    ADDRESSES[rule]()
+@then("this rule of address answers holds: {rule}")
+def check_address_rule(context, rule):
+    ADDRESS_RULES[rule]()
--- a/jasperweir/components/address/__init__.py
+++ b/jasperweir/components/address/__init__.py
@@ -1,1 +1,1 @@
-"""Address answers: which entries a caller should use."""
+"""Address answers: entries that a caller should connect to."""
--- a/jasperweir/components/address/answer.py
+++ b/jasperweir/components/address/answer.py
@@ -1,4 +1,4 @@
-"""Choose the entries in an address answer, with weights and time to live."""
+"""Address answers: entries with weights and a time to live."""
 
 from typing import NamedTuple
 
@@ -8,12 +8,12 @@
 from jasperweir.helpers import hashing
 
 Status = member_messages.Status
-ANSWER_ENTRIES = 6
-# Entries that serve one service, so that each node's state stays small.
+MAX_ANSWER_ENTRIES = 6
+# Entries that serve one service, so that the state of each stays small.
 SHARD_ENTRIES = 24
-NEAR_WEIGHT = 10
-REGION_WEIGHT = 3
-FAR_WEIGHT = 1
+SAME_DATA_CENTRE_WEIGHT = 10
+SAME_REGION_WEIGHT = 3
+OTHER_REGION_WEIGHT = 1
 
 
 class Address(NamedTuple):
@@ -26,7 +26,7 @@
 
 
 class Answer(NamedTuple):
-    """A set of entries and for how long it may be kept."""
+    """Entries for a caller and the time to live, seconds."""
 
     ttl_s: float
     addresses: tuple[Address, ...]
@@ -46,10 +46,10 @@
     Args:
         roster: Records of all nodes.
         service: Service that the caller wants, or an empty string.
-        place: Place that the caller is nearest to, or an empty string.
-        regions: Region of each place.
+        place: Data centre nearest to the caller, or an empty string.
+        regions: Region of each data centre.
         ttl_s: Seconds for which the answer may be kept.
-        salt: Varies between callers, so that they spread.
+        salt: Differs between callers, so that they are spread over entries.
     """
     entries = [
         m
@@ -57,23 +57,23 @@
         if m.status == Status.ALIVE
     ]
     if service and len(entries) > SHARD_ENTRIES:
-        entries = _shard(entries, service)
+        entries = _service_shard(entries, service)
     by_name = {m.name: m for m in entries}
     weights = {m.name: _weight(m.place, place, regions) for m in entries}
-    near = [n for n, w in weights.items() if w == NEAR_WEIGHT]
-    rest = [n for n, w in weights.items() if w != NEAR_WEIGHT]
-    names = hashing.rendezvous(salt, near, ANSWER_ENTRIES - 2)
-    names += hashing.rendezvous(salt, rest, ANSWER_ENTRIES - len(names))
+    local = [n for n, w in weights.items() if w == SAME_DATA_CENTRE_WEIGHT]
+    remote = [n for n, w in weights.items() if w != SAME_DATA_CENTRE_WEIGHT]
+    names = hashing.rendezvous(salt, local, MAX_ANSWER_ENTRIES - 2)
+    names += hashing.rendezvous(salt, remote, MAX_ANSWER_ENTRIES - len(names))
     addresses = tuple(
         Address(n, by_name[n].http, by_name[n].place, weights[n]) for n in names
     )
     return Answer(ttl_s=ttl_s, addresses=addresses)
 
 
-def _shard(
+def _service_shard(
     entries: list[member_messages.Member], service: str
 ) -> list[member_messages.Member]:
-    """Return the entries that serve a service, from every place alike."""
+    """Return the entries of a service, equally many per data centre."""
     by_place: dict[str, list[str]] = {}
     for m in entries:
         by_place.setdefault(m.place, []).append(m.name)
@@ -86,7 +86,7 @@
 
 def _weight(place: str, wanted: str, regions: dict[str, str]) -> int:
     if not wanted or place == wanted:
-        return NEAR_WEIGHT
+        return SAME_DATA_CENTRE_WEIGHT
     if regions.get(place, place) == regions.get(wanted, wanted):
-        return REGION_WEIGHT
-    return FAR_WEIGHT
+        return SAME_REGION_WEIGHT
+    return OTHER_REGION_WEIGHT
--- a/jasperweir/components/entry/dispatch.py
+++ b/jasperweir/components/entry/dispatch.py
@@ -58,7 +58,7 @@
         def choose() -> Any:
             member = router.choose(query, exclude, now)
             if member is not None:
-                router.started(member.name, query, now)
+                router.record_start(member.name, query, now)
             return member
 
         member = self._port.call(choose)
@@ -132,9 +132,9 @@
         now = self._port.now()
 
         def leave() -> None:
-            router.ended(loser.name, now)
+            router.record_end(loser.name, now)
             if won:
-                router.failed(first.name, now)
+                router.record_failure(first.name, now)
 
         self._port.tell(leave)
         if won:
@@ -153,9 +153,9 @@
         first = self._timing.first_at
 
         def leave() -> None:
-            router.ended(target.name, now)
+            router.record_end(target.name, now)
             if first is not None:
-                router.succeeded(target.name, first - self._sent_at, now)
+                router.record_success(target.name, first - self._sent_at, now)
 
         self._port.tell(leave)
 
--- a/jasperweir/components/entry/driver.py
+++ b/jasperweir/components/entry/driver.py
@@ -92,13 +92,13 @@
             verdicts.append(verdict)
             done.set()
 
-        ticket = admission_lib.Ticket(
+        ticket = admission_lib.AdmissionRequest(
             rid=self._job.rid,
             customer=self._job.customer.name,
             weight=self._job.customer.weight,
             priority=self._job.priority,
             deadline=self._deadline,
-            needs=const.NEEDS_SECONDS,
+            min_service_s=const.NEEDS_SECONDS,
         )
         entry = self._port.entry
         service = self._job.spec.name
@@ -224,7 +224,9 @@
         if failed and self._dispatch.target is not None:
             name = self._dispatch.target.name
             now = self._port.now()
-            self._port.tell(lambda: self._port.entry.router.failed(name, now))
+            self._port.tell(
+                lambda: self._port.entry.router.record_failure(name, now)
+            )
             if isinstance(result, events.Broke) and self._port.now() >= (
                 self._deadline
             ):
@@ -239,7 +241,7 @@
             self._port.tell(lambda: entry.congested(service, now))
         if self._dispatch.target is not None:
             name = self._dispatch.target.name
-            self._port.tell(lambda: entry.router.refused(name, now))
+            self._port.tell(lambda: entry.router.record_refusal(name, now))
 
     # The answer.
 
--- a/jasperweir/components/entry/job.py
+++ b/jasperweir/components/entry/job.py
@@ -43,7 +43,7 @@
 
     rid: str
     spec: specs.ServiceSpec
-    query: router_lib.Query
+    query: router_lib.TargetQuery
     customer: specs.CustomerSpec
     priority: int
     key: str
@@ -148,7 +148,7 @@
         return Rejected(Code.UNKNOWN_SERVICE, name[:80])
     if adapter and adapter not in spec.adapters:
         return Rejected(Code.UNKNOWN_SERVICE, name[:80])
-    query = router_lib.Query(
+    query = router_lib.TargetQuery(
         service=base,
         adapter=adapter,
         prefix=router_lib.prefix_hash(prompt.encode()),
@@ -172,7 +172,7 @@
     spec = bundle.services.get(name)
     if spec is None or spec.kind != bundle_const.KIND_PLAIN:
         return Rejected(Code.UNKNOWN_SERVICE, name[:80])
-    query = router_lib.Query(service=name)
+    query = router_lib.TargetQuery(service=name)
     return _job(
         req,
         spec,
@@ -187,7 +187,7 @@
 def _job(
     req: web.Req,
     spec: specs.ServiceSpec,
-    query: router_lib.Query,
+    query: router_lib.TargetQuery,
     headers: _Headers,
     *,
     path: str,
--- a/jasperweir/components/entry/node.py
+++ b/jasperweir/components/entry/node.py
@@ -103,7 +103,7 @@
         self.draining = False
         self._burn = 0.0
         self._burned_at = float("-inf")
-        self._admissions: dict[str, admission_lib.Admission] = {}
+        self._admissions: dict[str, admission_lib.AdmissionQueue] = {}
         self._waiting: dict[str, Callable[[admission_lib.Verdict], None]] = {}
         self._limits_version = -1
 
@@ -177,13 +177,13 @@
     def admit(
         self,
         service: str,
-        ticket: admission_lib.Ticket,
+        ticket: admission_lib.AdmissionRequest,
         done: Callable[[admission_lib.Verdict], None],
         now: float,
     ) -> None:
         """Ask for admission; ``done`` is called once, now or later."""
         admission = self._admission(service)
-        verdict = admission.offer(ticket, now)
+        verdict = admission.submit(ticket, now)
         if isinstance(verdict, admission_lib.Queued):
             self._waiting[ticket.rid] = done
             return
@@ -191,13 +191,13 @@
 
     def congested(self, service: str, now: float) -> None:
         """Note that a target had no slot left."""
-        self._admission(service).congested(now)
+        self._admission(service).record_congestion(now)
 
     def release(self, service: str, rid: str, now: float) -> None:
         """End an admitted or queued request."""
         admission = self._admission(service)
         if self._waiting.pop(rid, None) is not None:
-            admission.withdraw(rid)
+            admission.cancel(rid)
             return
         self._tell(admission.release(rid, now))
 
@@ -319,12 +319,12 @@
         self._limits_version = version
         for service, admission in self._admissions.items():
             admission.set_ceiling(self._limit(service))
-        self.router.forget_gone()
+        self.router.remove_departed_targets()
 
-    def _admission(self, service: str) -> admission_lib.Admission:
+    def _admission(self, service: str) -> admission_lib.AdmissionQueue:
         admission = self._admissions.get(service)
         if admission is None:
-            admission = admission_lib.Admission(
+            admission = admission_lib.AdmissionQueue(
                 limit=self._limit(service), rng=self.rng
             )
             self._admissions[service] = admission
@@ -336,9 +336,9 @@
             for m in self.gossip.roster.members(member_const.KIND_ENTRY)
             if m.status == Status.ALIVE
         ]
-        slots = self.router.slots(router_lib.Query(service=service))
+        slots = self.router.total_slots(router_lib.TargetQuery(service=service))
         serving = min(len(entries), address_lib.SHARD_ENTRIES)
-        share = admission_lib.share_of_slots(slots, serving)
+        share = admission_lib.entry_slot_limit(slots, serving)
         return max(1, min(share, self._max_streams))
 
     def _tell(self, verdicts: list[admission_lib.Verdict]) -> None:
--- a/jasperweir/components/limits/__init__.py
+++ b/jasperweir/components/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits: admission, fair shares by customer, retry budgets."""
+"""Limits: admission, fair queueing per customer and retry budgets."""
--- a/jasperweir/components/limits/const.py
+++ b/jasperweir/components/limits/const.py
@@ -1,19 +1,19 @@
 """Constants of limits."""
 
-QUEUE_FACTOR = 1.0
-QUEUE_MIN = 8
-CUSTOMER_QUEUE_MIN = 4
+QUEUE_LIMIT_FACTOR = 1.0
+MIN_QUEUE_LIMIT = 8
+MIN_CUSTOMER_QUEUE_LIMIT = 4
 DEFAULT_SERVICE_SECONDS = 2.0
 SERVICE_TIME_SMOOTHING = 0.1
-# An entry may use somewhat more than its even share of all target slots,
-# since callers never spread themselves quite evenly.
+# Factor on an entry's equal share of all target slots, since callers are not
+# spread evenly over entries.
 SHARE_SLACK = 1.25
 MIN_SHARE = 2
-# A target that refuses for lack of slots shows that the entries together
-# let in too much: each then lets in less, and slowly more again.
+# Multiplicative decrease and additive recovery of an entry's limit. A target
+# without a free slot shows that all entries together admit too much.
 CONGESTION_FACTOR = 0.97
-CONGESTION_FLOOR = 0.72
-CONGESTION_EVERY_SECONDS = 0.2
+MIN_CONGESTION_FACTOR = 0.72
+CONGESTION_INTERVAL_SECONDS = 0.2
 RECOVERY_PER_SECOND = 0.04
 NEUTRAL_PRIORITY = 5
 
--- a/jasperweir/components/limits/retry.py
+++ b/jasperweir/components/limits/retry.py
@@ -6,7 +6,7 @@
 
 
 class Budget:
-    """Allow retries only as a small share of first tries."""
+    """Token bucket that limits retries to a share of first attempts."""
 
     def __init__(
         self,
@@ -19,11 +19,11 @@
         self._tokens = burst
 
     def first_try(self) -> None:
-        """Earn a part of a retry."""
+        """Add a fraction of a retry for a first attempt."""
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
     def spend(self) -> bool:
-        """Take a retry, if there is one."""
+        """Use up a retry; return whether one was available."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -31,6 +31,6 @@
 
 
 def backoff(attempt: int, rng: random.Random) -> float:
-    """Return seconds to wait before a retry, with full jitter."""
+    """Return the seconds to wait before a retry, with full jitter."""
     ceiling = const.BACKOFF_FIRST_SECONDS * 2**attempt
     return rng.uniform(0, min(ceiling, const.BACKOFF_MAX_SECONDS))
--- a/jasperweir/components/routing/__init__.py
+++ b/jasperweir/components/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing: which target gets a request."""
+"""Routing: choice of the target of a request."""
--- a/jasperweir/components/routing/state.py
+++ b/jasperweir/components/routing/state.py
@@ -1,4 +1,4 @@
-"""What an entry knows of one target."""
+"""State of one target as an entry sees it."""
 
 import dataclasses
 import math
@@ -9,82 +9,85 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class TargetState:
-    """Own observations and lagging reports of one target.
+    """Own observations and delayed load reports of one target.
 
     Attributes:
         inc: Incarnation that the observations belong to.
-        since: When this incarnation was first seen, for slow start.
-        in_flight: Requests that this entry has at the target.
-        reported: Active requests by the target's own report.
-        own_then: Requests of this entry when the report was made.
-        reported_at: When the report came.
-        skew: How far the slowest rank trails, as a share of a step.
-        switching: Whether a map switch is pending.
-        latency: Smoothed seconds to the first token.
-        asked: How it refuses.
+        ramp_started_at: Start of the slow start, monotonic seconds.
+        in_flight: Requests of this entry at the target.
+        reported_active: Active requests in the target's last load report.
+        in_flight_at_report: Requests of this entry when the report came.
+        reported_at: When the report came, monotonic seconds.
+        skew: Lag of the slowest rank as a share of a step.
+        switching: Whether an expert map switch is pending.
+        first_token_s: Smoothed seconds to the first token.
+        samples: Number of successes since the last straggler ejection.
+        failures: Failures since the last success or ejection.
+        ejections: Number of ejections of this incarnation.
+        refusals: Refusals and the avoidance that follows from them.
+        ejected_until: End of the last ejection, monotonic seconds.
     """
 
     inc: int
-    since: float
+    ramp_started_at: float
     in_flight: int = 0
-    reported: int = 0
-    own_then: int = 0
+    reported_active: int = 0
+    in_flight_at_report: int = 0
     reported_at: float = float("-inf")
     skew: float = 0.0
     switching: bool = False
-    latency: float = 0.0
+    first_token_s: float = 0.0
     samples: int = 0
     failures: int = 0
     ejections: int = 0
-    asked: backpressure_state.Asked = dataclasses.field(
+    refusals: backpressure_state.Asked = dataclasses.field(
         default_factory=lambda: backpressure_state.Asked(born=0)
     )
     ejected_until: float = float("-inf")
 
-    def others(self) -> int:
-        """Return the requests of other entries at the time of the report."""
-        return max(self.reported - self.own_then, 0)
+    def other_requests(self) -> int:
+        """Return the requests of other entries in the last report."""
+        return max(self.reported_active - self.in_flight_at_report, 0)
 
-    def load(self, now: float, typical_others: float) -> float:
+    def estimated_load(self, now: float, typical_others: float) -> float:
         """Return the estimated number of active requests.
 
-        The report counts everybody's requests at its time; this entry's own
-        are replaced by what it knows to be in flight now. The rest of the
-        report loses its weight with age, in favour of what is typical of
-        all targets: an old report says little, and many entries that act
-        on the same one would all send to the same target.
+        This entry's own requests are counted exactly. Those of other entries
+        come from the last report, whose weight decays with age towards the
+        mean of all candidates, so that entries with the same stale report do
+        not all choose the same target.
 
         Args:
             now: Monotonic seconds.
             typical_others: Mean of ``others`` over the candidates.
         """
         age = max(now - self.reported_at, 0.0)
-        weight = math.exp(-age / const.REPORT_TRUST_SECONDS)
-        rest = weight * self.others() + (1 - weight) * typical_others
+        weight = math.exp(-age / const.REPORT_DECAY_SECONDS)
+        rest = weight * self.other_requests() + (1 - weight) * typical_others
         return self.in_flight + rest
 
-    def ramp(self, now: float) -> float:
-        """Return the share of its capacity that a new target gets."""
-        age = (now - self.since) / const.SLOW_START_SECONDS
+    def capacity_share(self, now: float) -> float:
+        """Return the share of capacity that may be used in slow start."""
+        age = (now - self.ramp_started_at) / const.SLOW_START_SECONDS
         return min(1.0, max(const.SLOW_START_FLOOR, age))
 
-    def report(
+    def update_load(
         self, *, active: int, skew: float, switching: bool, now: float
     ) -> None:
-        """Take in a load report."""
-        self.reported = active
-        self.own_then = min(self.in_flight, active)
+        """Update the load from a report."""
+        self.reported_active = active
+        self.in_flight_at_report = min(self.in_flight, active)
         self.reported_at = now
         self.skew = skew
         self.switching = switching
 
-    def succeeded(self, first_token: float) -> None:
-        """Take in the time to the first token of a request."""
+    def record_success(self, first_token: float) -> None:
+        """Record a success and its seconds to the first token."""
         self.failures = 0
-        self.asked.forgive()
+        self.refusals.forgive()
         self.samples += 1
         if self.samples == 1:
-            self.latency = first_token
+            self.first_token_s = first_token
             return
         gain = const.LATENCY_SMOOTHING
-        self.latency += gain * (first_token - self.latency)
+        self.first_token_s += gain * (first_token - self.first_token_s)
--- a/jasperweir/daemons/entry.py
+++ b/jasperweir/daemons/entry.py
@@ -139,14 +139,14 @@
         now = self.host.now()
 
         def report() -> None:
-            self.entry.router.reported(
+            self.entry.router.update_load(
                 name,
                 active=load.active,
                 skew=load.skew,
                 switching=load.switching,
                 now=now,
             )
-            self.entry.router.cached(name, load.cached)
+            self.entry.router.update_cached_prefixes(name, load.cached)
 
         self._port.tell(report)
 
--- a/jasperweir/daemons/site_entry.py
+++ b/jasperweir/daemons/site_entry.py
@@ -7,7 +7,7 @@
 import zlib
 
 from jasperweir import core
-from jasperweir.components.address import near as near_lib
+from jasperweir.components.address import entry_selection as near_lib
 from jasperweir.components.balance import budget as budget_lib
 from jasperweir.components.balance import const as balance_const
 from jasperweir.components.balance import messages as balance_messages
@@ -318,7 +318,7 @@
             answering.reply(404, [], b"")
             return
         entries = self._follower.open_entries(self._host.now())
-        found = near_lib.choose(entries, asked.place, self._host.rng)
+        found = near_lib.choose_addresses(entries, asked.place, self._host.rng)
         if not found:
             self._host.metrics.inc("lookups", outcome="none")
             answering.reply(503, [(b"retry-after", b"1")], b"")
--- a/script/bench_routing.py
+++ b/script/bench_routing.py
@@ -151,9 +151,9 @@
                     roster=roster, rng=random.Random(i), regions={}
                 )
             )
-            share = admission_lib.share_of_slots(TARGETS * SLOTS, ENTRIES)
+            share = admission_lib.entry_slot_limit(TARGETS * SLOTS, ENTRIES)
             self.gates.append(
-                admission_lib.Admission(limit=share, rng=random.Random(i))
+                admission_lib.AdmissionQueue(limit=share, rng=random.Random(i))
             )
 
     def at(self, when: float, what: Any) -> None:
@@ -198,11 +198,11 @@
             self.dispatch(call, now)
             return
         gate = self.gates[call.entry]
-        ticket = admission_lib.Ticket(
+        ticket = admission_lib.AdmissionRequest(
             str(call.number), str(call.customer), 1.0, 5,
             call.at + FIRST_TOKEN_S, PREFILL_CACHED_S,
         )  # fmt: skip
-        self.take(gate.offer(ticket, now), now)
+        self.take(gate.submit(ticket, now), now)
 
     def take(self, verdict: admission_lib.Verdict, now: float) -> None:
         """Follow admission's verdict."""
@@ -227,8 +227,8 @@
         self.own[call.entry][number] += 1
         self.started[call.number] = now
         if self.policy == "jasperweir":
-            query = router_lib.Query(service="s", prefix=call.prefix + 1)
-            self.routers[call.entry].started(target.name, query, now)
+            query = router_lib.TargetQuery(service="s", prefix=call.prefix + 1)
+            self.routers[call.entry].record_start(target.name, query, now)
         if target.active < SLOTS:
             self.begin(call, number, now)
         else:
@@ -241,16 +241,16 @@
     def pick_again(self, call: Call, number: int, now: float) -> int:
         """Try other targets after a refusal, as a request's life does."""
         router = self.routers[call.entry]
-        self.gates[call.entry].congested(now)
+        self.gates[call.entry].record_congestion(now)
         tried = []
         for _ in range(2):
             name = self.targets[number].name
             tried.append(name)
             # The refusal carries the target's load.
-            router.reported(
+            router.update_load(
                 name, active=SLOTS, skew=0.0, switching=False, now=now
             )
-            query = router_lib.Query(service="s", prefix=call.prefix + 1)
+            query = router_lib.TargetQuery(service="s", prefix=call.prefix + 1)
             member = router.choose(query, tried, now)
             if member is None:
                 return -1
@@ -276,7 +276,7 @@
             case "two choices":
                 pair = self.rng.sample(range(TARGETS), 2)
                 return min(pair, key=lambda i: self.reported[i])
-        query = router_lib.Query(service="s", prefix=call.prefix + 1)
+        query = router_lib.TargetQuery(service="s", prefix=call.prefix + 1)
         member = self.routers[call.entry].choose(query, (), now)
         return int(member.name[1:]) if member else 0
 
@@ -306,7 +306,7 @@
         if call.at >= WARM_S:
             self.firsts.append(now - call.at)
         if self.policy == "jasperweir":
-            self.routers[entry].succeeded(
+            self.routers[entry].record_success(
                 target.name, now - self.started[call.number], now
             )
         end = now + call.tokens * TOKEN_S * target.slow
@@ -323,9 +323,9 @@
         target.active -= 1
         self.own[entry][number] -= 1
         if self.policy == "jasperweir":
-            self.routers[entry].ended(target.name, now)
+            self.routers[entry].record_end(target.name, now)
             if target.frozen:
-                self.routers[entry].failed(target.name, now)
+                self.routers[entry].record_failure(target.name, now)
             for verdict in self.gates[entry].release(str(call.number), now):
                 self.take(verdict, now)
         if target.queue and target.active < SLOTS:
@@ -338,7 +338,7 @@
             if self.policy != "jasperweir":
                 continue
             for router in self.routers:
-                router.reported(
+                router.update_load(
                     target.name,
                     active=self.reported[i],
                     skew=0.0,
--- a/script/guards.py
+++ b/script/guards.py
@@ -165,12 +165,13 @@
     Guard("ejection leaves a floor", C + "routing/router.py",
           "if len(kept) >= floor:", "if True:", "routing"),
     Guard("an expired ticket is refused at once", C + "limits/admission.py",
-          "                if now + ticket.needs <= ticket.deadline:\n"
+          "                if now + request.min_service_s <= "
+          "request.deadline:\n"
           "                    continue\n",
           "                continue\n", "routing"),
     Guard("a full queue keeps room for the small",
           C + "limits/admission.py",
-          "return ticket.customer not in self._queues", "return False",
+          "return request.customer not in self._queues", "return False",
           "routing"),
     Guard("retries are a share of first tries", C + "limits/retry.py",
           "        if self._tokens < 1:\n            return False\n", "",
