--- a/features/request.feature
+++ b/features/request.feature
@@ -1,33 +1,33 @@
-Feature: Every request ends in one true answer
+Feature: Every request ends in one correct answer
 
-  Scenario Outline: A keyed request under every fault at every step is told the truth
+  Scenario Outline: A keyed request gets a correct answer under each fault at each step
     When a keyed request meets every fault at each of its steps
-    Then every answer was true and nothing ran twice
-    And all faults of the table were met
+    Then every answer was correct and no request ran twice
+    And all faults of the table have occurred
 
     Examples:
       | kind  |
       | keyed |
 
-  Scenario: A keyed request under every pair of faults is told the truth
+  Scenario: A keyed request gets a correct answer under each pair of faults
     When a keyed request meets every pair of faults
-    Then every answer was true and nothing ran twice
+    Then every answer was correct and no request ran twice
 
-  Scenario: A request without a key under every pair of faults is told the truth
+  Scenario: A request without a key gets a correct answer under each pair of faults
     When a request without a key meets every pair of faults
-    Then every answer was true and nothing ran twice
+    Then every answer was correct and no request ran twice
 
-  Scenario: A resend is never told not run by an entry that saw no first try
+  Scenario: A resent request is not reported as not run by an entry without its first try
     Given the first try ran and its entry died
-    When a resend finds no target
-    Then the resend is told "unknown"
+    When the request is resent and finds no target
+    Then the resent request gets "unknown"
 
-  Scenario: Whoever says so itself gets not run told on the first try
+  Scenario: A declared first try is reported as not run if it has no target
     When a first try finds no target
-    Then it is told "not_run"
+    Then it gets "not_run"
 
   Scenario Outline: Golden session
-    Then the session of "<name>" is as recorded
+    Then the session "<name>" is as recorded
 
     Examples:
       | name                             |
--- a/features/steps/request_steps.py
+++ b/features/steps/request_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the life of a request."""
+"""Steps for the state machine of a request."""
 
 import os
 import pathlib
@@ -13,8 +13,8 @@
 STEPS = 12
 ALL_FAULTS = sorted({f for faults in world.FAULTS.values() for f in faults})
 
-# Name of a golden session: faults by the number of the action they hit,
-# then the requests: rid, keyed, first.
+# Faults by the number of the affected action, and requests (rid, keyed, first)
+# of each golden session.
 SESSIONS = {
     "keyed-first-try": ({}, [("a", True, True)]),
     "keyed-lost-answer": ({3: "lost answer"}, [("a", True, True)]),
@@ -32,12 +32,12 @@
 }
 
 
-def play(faults, requests):
-    """Run requests one after the other in one world."""
-    scene = world.World(faults)
+def run_requests(faults, requests):
+    """Run requests one after the other in one simulated world."""
+    simulation = world.World(faults)
     for rid, keyed, first in requests:
-        scene.request(rid, keyed=keyed, first=first)
-    return scene
+        simulation.request(rid, keyed=keyed, first=first)
+    return simulation
 
 
 def keyed_with_resends():
@@ -45,80 +45,86 @@
 
 
 @when("a keyed request meets every fault at each of its steps")
-def single_faults(context):
-    context.met = set()
+def run_single_faults(context):
+    context.occurred = set()
     for at in range(STEPS):
         for fault in ALL_FAULTS:
-            scene = play({at: fault}, keyed_with_resends())
-            context.met.update(scene.met)
-    # Attach and Revoke are only reached after another fault.
+            simulation = run_requests({at: fault}, keyed_with_resends())
+            context.occurred.update(simulation.met)
+    # Attach and Revoke need an earlier fault.
     for at in range(4, STEPS):
         for fault in ALL_FAULTS:
-            for opener in ("lost answer", "lost request", "entry dies"):
-                scene = play({3: opener, at: fault}, keyed_with_resends())
-                context.met.update(scene.met)
+            for earlier in ("lost answer", "lost request", "entry dies"):
+                simulation = run_requests(
+                    {3: earlier, at: fault}, keyed_with_resends()
+                )
+                context.occurred.update(simulation.met)
 
 
 @when("a keyed request meets every pair of faults")
-def keyed_pairs(context):
-    pairs(keyed_with_resends())
+def run_keyed_fault_pairs(context):
+    run_fault_pairs(keyed_with_resends())
 
 
 @when("a request without a key meets every pair of faults")
-def plain_pairs(context):
-    pairs([("a", False, True)])
+def run_unkeyed_fault_pairs(context):
+    run_fault_pairs([("a", False, True)])
 
 
-def pairs(requests):
-    """Play each fault that is met, followed by each other one."""
+def run_fault_pairs(requests):
+    """Run each fault that occurs, followed by each other fault."""
     for one in range(STEPS):
         for first in ALL_FAULTS:
-            if not play({one: first}, requests).met:
+            if not run_requests({one: first}, requests).met:
                 continue
             for two in range(one + 1, STEPS + 4):
                 for second in ALL_FAULTS:
-                    play({one: first, two: second}, requests)
+                    run_requests({one: first, two: second}, requests)
 
 
-@then("every answer was true and nothing ran twice")
-def truth(context):
-    """The world asserts on each answer; getting here is the proof."""
+@then("every answer was correct and no request ran twice")
+def answers_correct(context):
+    """Nothing to check: the simulated world asserts on each answer."""
 
 
-@then("all faults of the table were met")
-def all_met(context):
-    assert context.met == set(ALL_FAULTS), set(ALL_FAULTS) - context.met
+@then("all faults of the table have occurred")
+def all_faults_occurred(context):
+    assert context.occurred == set(ALL_FAULTS), (
+        set(ALL_FAULTS) - context.occurred
+    )
 
 
 @given("the first try ran and its entry died")
-def first_ran(context):
-    context.scene = world.World({4: "entry dies"})
-    assert context.scene.request("a", keyed=True, first=True) == "entry died"
-    assert len(context.scene.runs) == 1
+def first_try_ran(context):
+    context.simulation = world.World({4: "entry dies"})
+    assert (
+        context.simulation.request("a", keyed=True, first=True) == "entry died"
+    )
+    assert len(context.simulation.runs) == 1
 
 
-@when("a resend finds no target")
-def resend_no_target(context):
-    context.scene.faults = {context.scene.count: "no target"}
-    context.told = context.scene.request("b", keyed=True, first=False)
+@when("the request is resent and finds no target")
+def resend_without_target(context):
+    context.simulation.faults = {context.simulation.count: "no target"}
+    context.outcome = context.simulation.request("b", keyed=True, first=False)
 
 
 @when("a first try finds no target")
-def first_no_target(context):
-    scene = world.World({0: "no target"})
-    context.told = scene.request("a", keyed=True, first=True)
+def first_try_without_target(context):
+    simulation = world.World({0: "no target"})
+    context.outcome = simulation.request("a", keyed=True, first=True)
 
 
-@then('the resend is told "{outcome}"')
-@then('it is told "{outcome}"')
-def told(context, outcome):
-    assert context.told == outcome, context.told
+@then('the resent request gets "{outcome}"')
+@then('it gets "{outcome}"')
+def outcome_is(context, outcome):
+    assert context.outcome == outcome, context.outcome
 
 
-@then('the session of "{name}" is as recorded')
-def golden(context, name):
-    scene = play(*SESSIONS[name])
-    text = "\n".join([*scene.log, f"runs: {scene.runs}"]) + "\n"
+@then('the session "{name}" is as recorded')
+def session_as_recorded(context, name):
+    simulation = run_requests(*SESSIONS[name])
+    text = "\n".join([*simulation.log, f"runs: {simulation.runs}"]) + "\n"
     path = GOLDEN / f"{name}.txt"
     if os.environ.get("UPDATE_GOLDEN"):
         path.write_text(text, encoding="utf-8")
--- a/jasperweir/components/entry/driver.py
+++ b/jasperweir/components/entry/driver.py
@@ -54,7 +54,7 @@
             job=job,
             deadline=self._deadline,
             timing=self._timing,
-            on_hedged=self._life.hedged,
+            on_hedged=self._life.switch_to_hedge,
         )
         self._held = held.Holder(port=port, job=job)
         self._tail = b""
@@ -98,7 +98,7 @@
             weight=self._job.customer.weight,
             priority=self._job.priority,
             deadline=self._deadline,
-            min_service_s=const.NEEDS_SECONDS,
+            min_service_s=const.MIN_SERVICE_SECONDS,
         )
         entry = self._port.entry
         service = self._job.spec.name
@@ -169,7 +169,7 @@
             done.set()
 
         now = self._port.now()
-        patience = min(remaining, const.CLAIM_SECONDS)
+        patience = min(remaining, const.CLAIM_TIMEOUT_SECONDS)
         entry = self._port.entry
         self._port.call(
             lambda: self._port.perform(
@@ -391,7 +391,7 @@
                         record=finish,
                         expect=finish.version,
                         done=lambda reply: None,
-                        deadline=now + const.CLAIM_SECONDS,
+                        deadline=now + const.CLAIM_TIMEOUT_SECONDS,
                         now=now,
                     )
                 )
--- a/jasperweir/components/request/__init__.py
+++ b/jasperweir/components/request/__init__.py
@@ -1,1 +1,1 @@
-"""Life of a request at an entry, from arrival to its one final answer."""
+"""State of a request at an entry, from arrival to its final answer."""
--- a/jasperweir/components/request/actions.py
+++ b/jasperweir/components/request/actions.py
@@ -1,4 +1,4 @@
-"""What the life of a request asks of its driver."""
+"""Actions that the state machine of a request returns to its driver."""
 
 import dataclasses
 
@@ -8,21 +8,26 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Pick:
-    """Choose a target other than these."""
+    """Choose a target that is not excluded."""
 
     exclude: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Reserve:
-    """Reserve the run id at the picked target."""
+    """Reserve a slot for the run id at the chosen target."""
 
     rid: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Claim:
-    """Claim the key for this run, or take the claim over at a version."""
+    """Claim the key for this run.
+
+    Attributes:
+        rid: Run id.
+        expect: Version of the claim to take over, 0 for a new claim.
+    """
 
     rid: str
     expect: int
@@ -30,11 +35,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Run:
-    """Send the request to the picked target.
+    """Send the request to the chosen target.
 
     Attributes:
         rid: Run id.
-        reserved: Whether only a live reservation may start it.
+        reserved: Whether the run needs a valid reservation to start.
     """
 
     rid: str
@@ -43,20 +48,20 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Relay:
-    """Hand the answer through to the caller."""
+    """Relay the answer to the caller."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Attach:
-    """Read the answer of a run that exists, from an offset.
+    """Read the answer of an existing run from an offset.
 
     Attributes:
         rid: Run id.
-        target: Agent that holds the run.
-        target_inc: Incarnation that holds it.
+        target: Agent of the run.
+        target_inc: Incarnation of the agent.
         http: HTTP address of the agent.
-        offset: Bytes that the caller has already.
-        pause: Seconds to wait first.
+        offset: Number of bytes that the caller already has.
+        pause: Seconds to wait before reading.
     """
 
     rid: str
@@ -69,7 +74,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Revoke:
-    """Make sure that a run id never starts at its target."""
+    """Prevent a run id from ever starting at its target."""
 
     rid: str
     target: str
@@ -79,27 +84,27 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Finish:
-    """The answer is whole and has been handed on."""
+    """The complete answer has been relayed; finish the request."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Replay:
-    """Give the caller the recorded answer."""
+    """Send the recorded answer to the caller."""
 
     record: claim_messages.Record
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Answer:
-    """Give the caller its final answer, now.
+    """End the request with a result code.
 
     Attributes:
         code: Result code.
-        retry_after: When to come back, or None.
-        broken: Bytes of an answer were given already, so that all that can
-            be done is to break it off so that nobody takes it for whole.
-        vouched: Whether "not run" is known of all earlier tries as well; if
-            not, the outcome told is "unknown".
+        retry_after: Seconds after which to retry, or None.
+        broken: Whether a part of an answer has been relayed, so that the
+            connection must be aborted to mark the answer as incomplete.
+        vouched: Whether "not run" holds for all earlier tries of the request
+            as well; otherwise the reported outcome is "unknown".
     """
 
     code: result_codes.Code
--- a/jasperweir/components/request/events.py
+++ b/jasperweir/components/request/events.py
@@ -1,4 +1,4 @@
-"""What can happen to a request."""
+"""Events of a request."""
 
 import dataclasses
 
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Admitted:
-    """Admission let the request in."""
+    """Admission admitted the request."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -35,12 +35,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Reserved:
-    """The agent set a slot aside, in the expected incarnation."""
+    """The agent reserved a slot, in the expected incarnation."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Claimed:
-    """The primary of the key's range answered."""
+    """The primary of the key's partition answered."""
 
     verdict: str
     record: claim_messages.Record | None
@@ -48,40 +48,40 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Refused:
-    """The agent of the expected incarnation will not run this request."""
+    """The agent, in the expected incarnation, will not run this request."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Unsent:
-    """No connection was made, so nothing was sent."""
+    """No connection was established, so nothing was sent."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class OtherIncarnation:
-    """Another incarnation of the agent answered; it knows nothing."""
+    """Another incarnation of the agent answered; it has no such run."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Head:
-    """The answer begins."""
+    """The head of the answer was received."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Whole:
-    """The answer ended with its completeness mark."""
+    """The answer was received completely."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Broke:
-    """The connection broke, or the answer ended without its mark.
+    """The connection broke, or the answer ended before it was complete.
 
     Attributes:
-        relayed: Bytes that the caller has been given.
-        ended: Whether the agent itself says that the run broke.
-        engine_end: Number of the engine's end that broke it, 0 if the engine
-            still listens or nothing is known.
+        relayed: Number of bytes relayed to the caller.
+        ended: Whether the agent reported that the run broke.
+        engine_end: Number of the engine crash that broke the run, 0 if the
+            engine still listens or this is unknown.
     """
 
     relayed: int
@@ -91,7 +91,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Unknown:
-    """The agent of that incarnation has no such run."""
+    """The agent, in the expected incarnation, has no such run."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
--- a/jasperweir/components/request/life.py
+++ b/jasperweir/components/request/life.py
@@ -1,4 +1,4 @@
-"""State machine of one request; every path ends in one true answer."""
+"""State machine of one request; every path ends in one correct answer."""
 
 import dataclasses
 import enum
@@ -15,7 +15,7 @@
 
 
 class Step(enum.StrEnum):
-    """Where a request stands."""
+    """Step of a request."""
 
     ADMISSION = "admission"
     ROUTING = "routing"
@@ -29,18 +29,18 @@
 
 
 class Life:
-    """Decide what to do next with one request.
+    """State machine of one request; sans-I/O.
 
-    "Not run" is answered only while ``_exposed`` is false: no run id of this
-    request has been sent to an agent that has not provably refused it. An
-    idempotent request may be sent again after that, but is then "unknown"
-    unless an answer comes whole. Bytes of two runs are never mixed.
+    The outcome "not run" requires that every agent to which a run id of this
+    request was sent has provably refused it; see ``_may_have_run``. An
+    idempotent request may be sent again otherwise, but its outcome is then
+    "unknown" unless an answer completes. Bytes of two runs are never mixed.
 
     Attributes:
-        step: Where the request stands.
-        target: Target in use.
-        record: Claim held, if any.
-        trace: Steps passed, for golden sessions.
+        rid: Run id; a new one is derived where the old one must not start.
+        step: Current step.
+        target: Chosen target, or None.
+        record: Claim of the key, own or of another request, or None.
     """
 
     def __init__(
@@ -57,43 +57,43 @@
         self.record: claim_messages.Record | None = None
         self._keyed = keyed
         self._budget = budget
-        self._exposed = False
-        # A resend of a keyed request may have run before, unseen by this
-        # entry; only a fresh grant or the caller's word rules that out.
+        self._may_have_run = False
+        # A resent keyed request may have run before, unknown to this entry,
+        # unless the caller declares a first try or a new claim is granted.
         self._vouched = first or not keyed
-        self._tries = 0
-        self._resumes = 0
-        self._waits = 0
-        self._relayed = 0
-        self._tried: list[str] = []
-        # Run attached to, which after HELD is not the request's own.
+        self._try_count = 0
+        self._resume_count = 0
+        self._held_wait_count = 0
+        self._relayed_bytes = 0
+        self._tried_targets: list[str] = []
+        # Run whose answer is read; after HELD it is that of another request.
         self._run_rid = rid
-        self._expect = 0
+        self._expected_version = 0
 
     @property
-    def claims(self) -> bool:
-        """Whether the request must hold a claim before it runs."""
+    def requires_claim(self) -> bool:
+        """Whether the request needs a claim before it may run."""
         return self._keyed
 
     @property
     def ended(self) -> bool:
-        """Whether the final answer has been decided."""
+        """Whether the final answer has been determined."""
         return self.step == Step.ENDED
 
     @property
     def run_rid(self) -> str:
-        """Run whose answer is being read."""
+        """Id of the run whose answer is read."""
         return self._run_rid
 
     def on(self, event: events.Event) -> actions.Action:
-        """Take in an event and return the next action."""
+        """Process an event and return the next action."""
         match event:
             case events.Expired():
-                return self._expired()
+                return self._on_expired()
             case events.CallerLeft():
                 return self._end(actions.Answer(code=Code.CANCELLED))
-            case events.Denied() if self._exposed:
-                return self._broken_off()
+            case events.Denied() if self._may_have_run:
+                return self._end_broken()
             case events.Denied():
                 return self._end(
                     actions.Answer(
@@ -102,9 +102,9 @@
                 )
             case events.Admitted():
                 self._budget.first_try()
-                return self._pick()
+                return self._choose_target()
             case events.NoTarget():
-                return self._out_of_targets()
+                return self._end_without_target()
             case events.Picked():
                 return self._on_picked(event)
             case events.Reserved():
@@ -119,25 +119,25 @@
             case _:
                 return self._on_failure(event)
 
-    def hedged(self, winner: events.Picked) -> None:
-        """Go on with the second target of a hedged request.
+    def switch_to_hedge(self, winner: events.Picked) -> None:
+        """Continue with the second target of a hedged request.
 
-        The first one may run the request too, so it counts as tried.
+        The first target may run the request too and counts as tried.
         """
         if self.target is not None:
-            self._tried.append(self.target.name)
-        self._exposed = True
+            self._tried_targets.append(self.target.name)
+        self._may_have_run = True
         self.target = winner
 
-    # The way forward.
+    # Normal progress.
 
-    def _pick(self) -> actions.Action:
+    def _choose_target(self) -> actions.Action:
         self.step = Step.ROUTING
-        return actions.Pick(exclude=tuple(self._tried))
+        return actions.Pick(exclude=tuple(self._tried_targets))
 
     def _on_picked(self, event: events.Picked) -> actions.Action:
         self.target = event
-        self._tries += 1
+        self._try_count += 1
         if self._keyed:
             self.step = Step.RESERVE
             return actions.Reserve(rid=self.rid)
@@ -145,7 +145,7 @@
 
     def _on_reserved(self) -> actions.Action:
         self.step = Step.CLAIM
-        return actions.Claim(rid=self.rid, expect=self._expect)
+        return actions.Claim(rid=self.rid, expect=self._expected_version)
 
     def _run(self) -> actions.Action:
         self.step = Step.DISPATCH
@@ -157,7 +157,7 @@
             case claim_const.GRANTED:
                 assert event.record is not None
                 self.record = event.record
-                self._expect = event.record.version
+                self._expected_version = event.record.version
                 self._vouched = True
                 return self._run()
             case claim_const.HELD:
@@ -166,19 +166,19 @@
             case claim_const.REUSED:
                 return self._end(actions.Answer(code=Code.KEY_REUSED))
             case _:
-                # The question may have reached the owners, but this request
-                # has not been sent: it never runs without a grant.
+                # The claim may have been recorded, but the request has not
+                # been sent and never runs without a grant.
                 return self._end(
                     actions.Answer(
                         code=Code.CLAIMS_UNAVAILABLE,
-                        retry_after=const.RETRY_CLAIMS_SECONDS,
+                        retry_after=const.CLAIMS_RETRY_AFTER_SECONDS,
                     )
                 )
 
     def _on_held(self, record: claim_messages.Record) -> actions.Action:
-        """Another try holds the key: give its answer, never run again."""
+        """Return the answer of the request that holds the key."""
         self.record = record
-        self._expect = record.version
+        self._expected_version = record.version
         if record.state == claim_const.STATE_FINISHED and record.answer:
             return self._end(actions.Replay(record=record))
         return self._attach(record.rid, 0)
@@ -188,7 +188,7 @@
     ) -> actions.Action:
         self.step = Step.RESUME
         self._run_rid = rid
-        target, inc, http = self._holder()
+        target, inc, http = self._run_holder()
         return actions.Attach(
             rid=rid,
             target=target,
@@ -198,7 +198,7 @@
             pause=pause,
         )
 
-    def _holder(self) -> tuple[str, int, str]:
+    def _run_holder(self) -> tuple[str, int, str]:
         if self.record is not None:
             record = self.record
             return record.target, record.target_inc, record.http
@@ -210,137 +210,146 @@
     def _on_failure(self, event: events.Event) -> actions.Action:
         match self.step:
             case Step.RESERVE:
-                # A reservation without a claim starts nothing.
-                return self._next_target()
+                # A reservation without a claim cannot start a run.
+                return self._try_next_target()
             case Step.DISPATCH:
-                return self._dispatch_failed(event)
+                return self._on_dispatch_failure(event)
             case Step.STREAM:
-                return self._stream_failed(event)
+                return self._on_stream_failure(event)
             case Step.RESUME:
-                return self._resume_failed(event)
+                return self._on_resume_failure(event)
             case Step.REVOKE:
-                return self._revoke_ended(event)
-        return self._broken_off()
+                return self._on_revoke_result(event)
+        return self._end_broken()
 
-    def _dispatch_failed(self, event: events.Event) -> actions.Action:
+    def _on_dispatch_failure(self, event: events.Event) -> actions.Action:
         match event:
             case events.Refused() | events.OtherIncarnation():
-                return self._next_target()
+                return self._try_next_target()
             case events.Unsent():
-                return self._next_target()
+                return self._try_next_target()
             case events.Broke(ended=True):
-                self._exposed = True
-                return self._retry_idempotent()
-        # The request left and nothing came back.
-        self._exposed = True
+                self._may_have_run = True
+                return self._retry_unless_keyed()
+        # The request was sent, but no answer was received.
+        self._may_have_run = True
         if self._keyed:
             return self._resume(0)
-        return self._retry_idempotent()
+        return self._retry_unless_keyed()
 
-    def _stream_failed(self, event: events.Event) -> actions.Action:
-        self._exposed = True
+    def _on_stream_failure(self, event: events.Event) -> actions.Action:
+        self._may_have_run = True
         if isinstance(event, events.Broke):
-            self._relayed = event.relayed
+            self._relayed_bytes = event.relayed
             if not event.ended:
                 return self._resume(event.relayed)
-        if self._relayed == 0:
-            return self._retry_idempotent()
-        return self._broken_off()
+        if self._relayed_bytes == 0:
+            return self._retry_unless_keyed()
+        return self._end_broken()
 
     def _resume(self, offset: int) -> actions.Action:
-        if self._resumes >= const.MAX_RESUMES:
+        if self._resume_count >= const.MAX_RESUMES:
             if offset == 0:
-                return self._retry_idempotent()
-            return self._broken_off()
-        self._resumes += 1
+                return self._retry_unless_keyed()
+            return self._end_broken()
+        self._resume_count += 1
         return self._attach(self._run_rid, offset, const.RESUME_PAUSE_SECONDS)
 
-    def _resume_failed(self, event: events.Event) -> actions.Action:
+    def _on_resume_failure(self, event: events.Event) -> actions.Action:
         match event:
             case events.Unknown() | events.Refused():
-                if self._held_by_other() and self._may_wait():
-                    pause = const.HELD_PAUSES_SECONDS[self._waits]
-                    self._waits += 1
+                if self._awaits_other_run() and self._may_wait_for_run():
+                    pause = const.HELD_RETRY_PAUSES_SECONDS[
+                        self._held_wait_count
+                    ]
+                    self._held_wait_count += 1
                     return self._attach(self._run_rid, 0, pause)
-                if self._keyed and self._relayed == 0:
+                if self._keyed and self._relayed_bytes == 0:
                     return self._revoke()
             case events.Broke(ended=False) | events.Unsent():
                 if isinstance(event, events.Broke):
-                    self._relayed = max(self._relayed, event.relayed)
-                if self._resumes < const.MAX_RESUMES:
-                    return self._resume(self._relayed)
-        if self._relayed == 0 and not self._keyed:
-            return self._retry_idempotent()
-        if self._held_by_other():
+                    self._relayed_bytes = max(
+                        self._relayed_bytes, event.relayed
+                    )
+                if self._resume_count < const.MAX_RESUMES:
+                    return self._resume(self._relayed_bytes)
+        if self._relayed_bytes == 0 and not self._keyed:
+            return self._retry_unless_keyed()
+        if self._awaits_other_run():
             return self._end(actions.Answer(code=Code.ANSWER_LOST))
-        return self._broken_off()
+        return self._end_broken()
 
-    def _may_wait(self) -> bool:
-        return self._waits < len(const.HELD_PAUSES_SECONDS)
+    def _may_wait_for_run(self) -> bool:
+        return self._held_wait_count < len(const.HELD_RETRY_PAUSES_SECONDS)
 
-    def _held_by_other(self) -> bool:
-        return self._run_rid != self.rid and self._relayed == 0
+    def _awaits_other_run(self) -> bool:
+        return self._run_rid != self.rid and self._relayed_bytes == 0
 
     def _revoke(self) -> actions.Action:
-        """The agent knows no such run: make that certain, then take over."""
+        """Revoke a run that its agent does not know, to take the claim over."""
         self.step = Step.REVOKE
-        target, inc, http = self._holder()
+        target, inc, http = self._run_holder()
         return actions.Revoke(
             rid=self._run_rid, target=target, target_inc=inc, http=http
         )
 
-    def _revoke_ended(self, event: events.Event) -> actions.Action:
+    def _on_revoke_result(self, event: events.Event) -> actions.Action:
         if not isinstance(event, events.Refused):
             if isinstance(event, events.Exists):
                 return self._attach(self._run_rid, 0)
-            if self._held_by_other():
+            if self._awaits_other_run():
                 return self._end(actions.Answer(code=Code.ANSWER_LOST))
-            return self._broken_off()
-        # Provably never run, and never will be. The claim is taken over at
-        # its version, so of several takers one wins.
-        self._exposed = False
+            return self._end_broken()
+        # The run never started and never will. The claim is taken over at its
+        # version, so that only one of several requests succeeds.
+        self._may_have_run = False
         if self._run_rid == self.rid:
-            # A revoked id cannot start again.
+            # A revoked run id can never start.
             self.rid = f"{self.rid}+"
         self._run_rid = self.rid
-        return self._next_target()
-
-    def _next_target(self) -> actions.Action:
-        if self.target is not None and self.target.name not in self._tried:
-            self._tried.append(self.target.name)
-        if self._tries >= const.MAX_TRIES:
-            return self._out_of_targets()
-        if self._tries and not self._budget.spend():
-            return self._out_of_targets()
-        if self._keyed and self._run_started_elsewhere():
+        return self._try_next_target()
+
+    def _try_next_target(self) -> actions.Action:
+        if (
+            self.target is not None
+            and self.target.name not in self._tried_targets
+        ):
+            self._tried_targets.append(self.target.name)
+        if self._try_count >= const.MAX_TRIES:
+            return self._end_without_target()
+        if self._try_count and not self._budget.spend():
+            return self._end_without_target()
+        if self._keyed and self._was_sent_elsewhere():
             self.rid = f"{self.rid}+"
             self._run_rid = self.rid
-        return self._pick()
+        return self._choose_target()
 
-    def _run_started_elsewhere(self) -> bool:
-        """Tell whether the run id was already offered to another target."""
-        return bool(self._tried) and self.step == Step.DISPATCH
+    def _was_sent_elsewhere(self) -> bool:
+        """Return whether the run id was already sent to another target."""
+        return bool(self._tried_targets) and self.step == Step.DISPATCH
 
-    def _retry_idempotent(self) -> actions.Action:
+    def _retry_unless_keyed(self) -> actions.Action:
         if self._keyed:
-            return self._broken_off()
-        return self._next_target()
+            return self._end_broken()
+        return self._try_next_target()
 
-    def _out_of_targets(self) -> actions.Action:
-        if self._exposed:
-            return self._broken_off()
-        code = Code.TARGETS_REFUSED if self._tried else Code.NO_TARGET
+    def _end_without_target(self) -> actions.Action:
+        if self._may_have_run:
+            return self._end_broken()
+        code = Code.TARGETS_REFUSED if self._tried_targets else Code.NO_TARGET
         return self._end(
-            actions.Answer(code=code, retry_after=const.RETRY_SOON_SECONDS)
+            actions.Answer(
+                code=code, retry_after=const.TARGETS_RETRY_AFTER_SECONDS
+            )
         )
 
-    def _broken_off(self) -> actions.Action:
+    def _end_broken(self) -> actions.Action:
         return self._end(
-            actions.Answer(code=Code.BROKEN_OFF, broken=self._relayed > 0)
+            actions.Answer(code=Code.BROKEN_OFF, broken=self._relayed_bytes > 0)
         )
 
-    def _expired(self) -> actions.Action:
-        sent = self._exposed or self.step in (
+    def _on_expired(self) -> actions.Action:
+        sent = self._may_have_run or self.step in (
             Step.DISPATCH,
             Step.STREAM,
             Step.RESUME,
@@ -350,7 +359,7 @@
             return self._end(
                 actions.Answer(
                     code=Code.DEADLINE_TOO_NEAR,
-                    retry_after=const.RETRY_SOON_SECONDS,
+                    retry_after=const.TARGETS_RETRY_AFTER_SECONDS,
                 )
             )
         broken = self.step == Step.STREAM
--- a/script/guards.py
+++ b/script/guards.py
@@ -92,17 +92,18 @@
           "self._vouched = first or not keyed", "self._vouched = True",
           "request"),
     Guard("a sent request is exposed", C + "request/life.py",
-          "        # The request left and nothing came back.\n"
-          "        self._exposed = True\n",
-          "        # The request left and nothing came back.\n", "request"),
+          "        # The request was sent, but no answer was received.\n"
+          "        self._may_have_run = True\n",
+          "        # The request was sent, but no answer was received.\n",
+          "request"),
     Guard("a keyed request is never sent twice", C + "request/life.py",
-          "        if self._keyed:\n            return self._broken_off()\n",
+          "        if self._keyed:\n            return self._end_broken()\n",
           "", "request"),
     Guard("revoke before taking over", C + "request/life.py",
-          "                if self._keyed and self._relayed == 0:\n"
+          "                if self._keyed and self._relayed_bytes == 0:\n"
           "                    return self._revoke()\n",
-          "                if self._keyed and self._relayed == 0:\n"
-          "                    return self._next_target()\n", "request"),
+          "                if self._keyed and self._relayed_bytes == 0:\n"
+          "                    return self._try_next_target()\n", "request"),
     Guard("a grant needs loaded weights", C + "experts/guard.py",
           "        if msg.version not in self._loaded:\n"
           "            return False\n", "", "experts"),
