--- a/features/harness/claims.py
+++ b/features/harness/claims.py
@@ -6,8 +6,8 @@
 from jasperweir import core
 from jasperweir.components.claims import client as client_lib
 from jasperweir.components.claims import const
-from jasperweir.components.claims import keeper as keeper_lib
 from jasperweir.components.claims import messages
+from jasperweir.components.claims import owner as owner_lib
 from jasperweir.components.registry import ops
 
 STEP = 0.1
@@ -32,8 +32,8 @@
         self.rng = random.Random(seed)
         self.view = ops.View(0, ())
         self.inc: dict[str, int] = {}
-        self.keepers: dict[str, keeper_lib.Keeper] = {}
-        self.clients: dict[str, client_lib.Client] = {}
+        self.claim_owners: dict[str, owner_lib.ClaimOwner] = {}
+        self.clients: dict[str, client_lib.ClaimClient] = {}
         self.queue: collections.deque = collections.deque()
         self.cut: set[frozenset] = set()
         self.no_control: set[str] = set()
@@ -50,12 +50,14 @@
 
     def start(self, name: str) -> None:
         self.inc[name] = self.inc.get(name, 0) + 1
-        keeper = keeper_lib.Keeper(name=name, inc=self.inc[name], window=WINDOW)
-        self.keepers[name] = keeper
-        self.clients[name] = client_lib.Client(keeper=keeper)
+        owner = owner_lib.ClaimOwner(
+            name=name, inc=self.inc[name], window=WINDOW
+        )
+        self.claim_owners[name] = owner
+        self.clients[name] = client_lib.ClaimClient(owner=owner)
 
     def kill(self, name: str) -> None:
-        self.keepers.pop(name, None)
+        self.claim_owners.pop(name, None)
         self.clients.pop(name, None)
 
     def cut_pair(self, one: str, two: str) -> None:
@@ -65,7 +67,7 @@
         members = tuple(
             sorted(
                 (n, self.inc[n], f"p{int(n[1:]) % self.places}")
-                for n in self.keepers
+                for n in self.claim_owners
                 if n not in self.no_control and n not in self.frozen
             )
         )
@@ -76,8 +78,8 @@
 
     def repaired(self) -> bool:
         return all(
-            name in self.keepers
-            and self.keepers[name].ready_epoch >= self.view.epoch
+            name in self.claim_owners
+            and self.claim_owners[name].ready_epoch >= self.view.epoch
             for name, _, _ in self.view.members
         )
 
@@ -92,28 +94,31 @@
     def deliver(self) -> None:
         pending, self.queue = list(self.queue), collections.deque()
         for src, inc, dst, msg in pending:
-            if dst not in self.keepers or frozenset((src, dst)) in self.cut:
+            if (
+                dst not in self.claim_owners
+                or frozenset((src, dst)) in self.cut
+            ):
                 continue
             if dst in self.frozen:
                 self.queue.append((src, inc, dst, msg))
                 continue
-            if isinstance(msg, messages.Reply):
+            if isinstance(msg, messages.ClaimReply):
                 out = self.clients[dst].receive(msg, self.now)
             else:
-                out = self.keepers[dst].receive(src, inc, msg, self.now)
+                out = self.claim_owners[dst].receive(src, inc, msg, self.now)
             self.perform(dst, out)
 
     def run(self, seconds: float) -> None:
         for _ in range(max(1, round(seconds / STEP))):
             self.now += STEP
-            for name in list(self.keepers):
+            for name in list(self.claim_owners):
                 if name in self.frozen:
                     continue
-                keeper = self.keepers[name]
+                owner = self.claim_owners[name]
                 if name not in self.no_control:
-                    self.perform(name, keeper.on_view(self.view, self.now))
-                    keeper.confirm(self.view.epoch, self.now)
-                self.perform(name, keeper.tick(self.now))
+                    self.perform(name, owner.on_view(self.view, self.now))
+                    owner.confirm(self.view.epoch, self.now)
+                self.perform(name, owner.tick(self.now))
                 self.perform(name, self.clients[name].tick(self.now))
             for _ in range(4):
                 self.deliver()
@@ -124,7 +129,7 @@
             key=key, digest=1, rid=rid, target="t", target_inc=1, http="t"
         )
 
-        def done(reply: messages.Reply) -> None:
+        def done(reply: messages.ClaimReply) -> None:
             self.verdicts[rid] = reply.verdict
             if reply.verdict != const.GRANTED:
                 return
@@ -136,7 +141,7 @@
 
         self.perform(
             name,
-            self.clients[name].ask(
+            self.clients[name].send_request(
                 record=record,
                 expect=0,
                 done=done,
@@ -146,6 +151,6 @@
         )
 
     def owners(self, key: str) -> list[str]:
-        partition = keeper_lib.partitions.partition_index(key)
-        owners = keeper_lib.partitions.assign_owners(self.view.members)
+        partition = owner_lib.partitions.partition_index(key)
+        owners = owner_lib.partitions.assign_owners(self.view.members)
         return [name for name, _ in owners[partition]]
--- a/features/harness/matrix.py
+++ b/features/harness/matrix.py
@@ -187,7 +187,7 @@
     run(own, 3)
     heal(own)
     for name in [f"e{i}" for i in range(1, 6)]:
-        if name not in own.keepers:
+        if name not in own.claim_owners:
             own.start(name)
     own.change_view()
     run(own, 8)
@@ -198,7 +198,7 @@
 
 
 def claim(own, key: str, rid: str) -> None:
-    alive = sorted(set(own.keepers) - own.frozen)
+    alive = sorted(set(own.claim_owners) - own.frozen)
     own.claim(alive[len(rid) % len(alive)], key, rid)
 
 
@@ -244,7 +244,7 @@
     scene.apart = set()
     run(scene, 3)
     if "a1" not in scene.down:
-        scene.post("a1", scene.nodes["a1"].leave())
+        scene.post("a1", scene.nodes["a1"].announce_leaving())
     scene.down.add("a2")
     run(scene, 8)
     # The fault may strike as late as in the recovery itself.
@@ -286,7 +286,7 @@
     run(scene, 1.0)
     if "e1" in scene.followers:
         known = site.target("t9", "10.0.0.9:80")
-        gone = scene.followers["e1"].retire(known, scene.now)
+        gone = scene.followers["e1"].announce_target_gone(known, scene.now)
         scene.perform("e1", gone)
     run(scene, 1.0)
     # The fault may strike as late as in the recovery itself.
--- a/features/harness/site.py
+++ b/features/harness/site.py
@@ -8,7 +8,7 @@
 from jasperweir.components.configctl import node as node_lib
 from jasperweir.components.configctl import roster as roster_lib
 from jasperweir.components.directory import records
-from jasperweir.components.follow import follower as follower_lib
+from jasperweir.components.discovery import client as discovery_client
 from jasperweir.components.quorum import actions
 from jasperweir.components.quorum import voter as voter_lib
 
@@ -100,7 +100,7 @@
         node = records.Node(
             name, "entry", "p", f"{name}:80", False, self.rng.getrandbits(30), 0
         )  # fmt: skip
-        self.followers[name] = follower_lib.Follower(
+        self.followers[name] = discovery_client.DiscoveryClient(
             node=node, seeds=tuple(self.names[:3]), now=self.now
         )
         self.versions[name] = 0
@@ -109,11 +109,11 @@
         node = records.Node(
             name, "agent", "p", "", False, self.rng.getrandbits(30), 0
         )
-        self.followers[name] = follower_lib.Follower(
+        self.followers[name] = discovery_client.DiscoveryClient(
             node=node,
             seeds=tuple(self.names[:3]),
             now=self.now,
-            beat_s=1.0,
+            heartbeat_s=1.0,
             wants_content=False,
         )
 
@@ -129,9 +129,9 @@
             for name, follower in list(self.followers.items()):
                 if name in self.frozen:
                     continue
-                is_open = follower.ready(self.now)
+                is_open = follower.is_ready(self.now)
                 self.perform(
-                    name, follower.update(is_open=is_open, now=self.now)
+                    name, follower.set_open(is_open=is_open, now=self.now)
                 )
                 self.perform(name, follower.tick(self.now))
             self.deliver()
@@ -166,7 +166,7 @@
                     self.disks[name].save(act)
                 case actions.SaveSnapshot():
                     self.disks[name].save(act)
-                case follower_lib.NewContent():
+                case discovery_client.ApplyConfiguration():
                     assert act.version > self.versions[name], "went back"
                     self.versions[name] = act.version
                     assert act.data == self.contents[act.version]
--- a/features/harness/world.py
+++ b/features/harness/world.py
@@ -8,7 +8,7 @@
 from jasperweir.components.limits import retry
 from jasperweir.components.request import actions
 from jasperweir.components.request import events
-from jasperweir.components.request import life as life_lib
+from jasperweir.components.request import state_machine as state_machine_lib
 from jasperweir.components.runs import table as table_lib
 
 Outcome = result_codes.Outcome
@@ -58,12 +58,12 @@
         self.told: list[tuple[result_codes.Code, Outcome, int]] = []
 
     def request(self, rid: str, *, keyed: bool, first: bool) -> str:
-        life = life_lib.Life(
-            rid=rid, keyed=keyed, first=first, budget=retry.Budget()
+        life = state_machine_lib.RequestStateMachine(
+            rid=rid, keyed=keyed, first=first, budget=retry.RetryBudget()
         )
         before = len(self.runs)
         self.offset = 0
-        action = life.on(events.Admitted())
+        action = life.handle(events.Admitted())
         for _ in range(60):
             if isinstance(action, actions.Answer):
                 return self.tell(action.code, action.vouched, before, keyed)
@@ -78,7 +78,7 @@
             if event is None:
                 return "entry died"
             self.log.append(f"{step}: {_show(action)} -> {_show(event)}")
-            action = life.on(event)
+            action = life.handle(event)
         raise AssertionError(f"no end: {self.log}")
 
     def tell(self, code, vouched, before, keyed) -> str:
--- a/features/steps/claims_steps.py
+++ b/features/steps/claims_steps.py
@@ -9,8 +9,8 @@
 from features.harness import claims
 from features.harness import draws
 from jasperweir.components.claims import const
-from jasperweir.components.claims import keeper as keeper_lib
 from jasperweir.components.claims import messages
+from jasperweir.components.claims import owner as owner_lib
 from jasperweir.components.registry import ops
 
 
@@ -25,7 +25,7 @@
 def claim(context, key, name=""):
     context.claim_count += 1
     cluster = context.cluster
-    alive = sorted(set(cluster.keepers) - cluster.frozen)
+    alive = sorted(set(cluster.claim_owners) - cluster.frozen)
     context.rid = f"r{context.claim_count}"
     cluster.claim(name or alive[-1], key, context.rid)
 
@@ -60,7 +60,7 @@
 def lose_data_centre(context):
     cluster = context.cluster
     for name in [
-        n for n in cluster.keepers if int(n[1:]) % cluster.places == 1
+        n for n in cluster.claim_owners if int(n[1:]) % cluster.places == 1
     ]:
         cluster.kill(name)
     cluster.change_view()
@@ -119,7 +119,7 @@
 
 @when("every entry has been cut off from control for {seconds:d} seconds")
 def cut_off_from_control(context, seconds):
-    context.cluster.no_control = set(context.cluster.keepers)
+    context.cluster.no_control = set(context.cluster.claim_owners)
     context.cluster.run(seconds)
 
 
@@ -150,7 +150,7 @@
     )
     cluster.perform(
         "e1",
-        cluster.clients["e1"].ask(
+        cluster.clients["e1"].send_request(
             record=record,
             expect=0,
             done=context.replies.append,
@@ -195,7 +195,7 @@
     rng = random.Random(seed)
     for number, event in enumerate(events):
         name = f"e{rng.randint(1, 5)}"
-        alive = name in cluster.keepers
+        alive = name in cluster.claim_owners
         match event:
             case "claim" if alive and name not in cluster.frozen:
                 cluster.claim(name, f"k{rng.randint(1, 3)}", f"r{number}")
@@ -236,37 +236,37 @@
 def create_unrepaired_primary():
     """Return a primary in view 2 that is not repaired, and a record."""
     members = (("e1", 1, "p"), ("e2", 1, "p"), ("e3", 1, "p"))
-    keeper = keeper_lib.Keeper(name="e1", inc=1, window=60)
-    keeper.on_view(ops.View(1, members), 0.0)
+    owner = owner_lib.ClaimOwner(name="e1", inc=1, window=60)
+    owner.on_view(ops.View(1, members), 0.0)
     moved = (("e1", 1, "p"), ("e2", 1, "p"), ("e4", 1, "p"))
-    keeper.on_view(ops.View(2, moved, members), 0.0)
-    keeper.confirm(2, 0.0)
+    owner.on_view(ops.View(2, moved, members), 0.0)
+    owner.confirm(2, 0.0)
     key = next(
-        f"k{i}" for i in range(999) if keeper.primary(f"k{i}") == ("e1", 1)
+        f"k{i}" for i in range(999) if owner.primary(f"k{i}") == ("e1", 1)
     )
     record = messages.Record(
         key=key, digest=1, rid="r", target="t", target_inc=1, http="t"
     )
-    return keeper, record
+    return owner, record
 
 
 def check_unrepaired_owner():
-    keeper, record = create_unrepaired_primary()
+    owner, record = create_unrepaired_primary()
     ask = messages.Replicate(2, record._replace(version=1, remaining=60.0))
-    assert keeper.receive("e2", 1, ask, 0.0) == []
+    assert owner.receive("e2", 1, ask, 0.0) == []
 
 
 def check_unrepaired_primary():
-    keeper, record = create_unrepaired_primary()
-    ask = messages.Ask(2, "a", record, 0)
-    out = keeper.receive("e2", 1, ask, 0.0)
+    owner, record = create_unrepaired_primary()
+    ask = messages.ClaimRequest(2, "a", record, 0)
+    out = owner.receive("e2", 1, ask, 0.0)
     assert [a.msg.verdict for a in out] == [const.RETRY]
 
 
 def check_repair_in_new_view():
-    keeper, _ = create_unrepaired_primary()
-    ask = messages.SyncAsk(3, tuple(range(256)))
-    assert keeper.receive("e4", 1, ask, 0.0) == []
+    owner, _ = create_unrepaired_primary()
+    ask = messages.SyncRequest(3, tuple(range(256)))
+    assert owner.receive("e4", 1, ask, 0.0) == []
 
 
 CLAIM_RULES = {
--- a/features/steps/declared_steps.py
+++ b/features/steps/declared_steps.py
@@ -284,7 +284,9 @@
 @then("every entry is certain of its configuration")
 def step_certain(context):
     site = context.site
-    assert all(f.certain(site.now) for f in site.followers.values())
+    assert all(
+        f.is_version_confirmed(site.now) for f in site.followers.values()
+    )
 
 
 @when("every entry is cut off from all control VMs")
@@ -296,7 +298,9 @@
 @then("no entry is certain of its configuration")
 def step_uncertain(context):
     site = context.site
-    assert not any(f.certain(site.now) for f in site.followers.values())
+    assert not any(
+        f.is_version_confirmed(site.now) for f in site.followers.values()
+    )
 
 
 @when("{count:d} random schedules of faults run on a site")
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -137,7 +137,7 @@
     site = context.site
     site.announce("c1", target(born))
     site.run(1.0)
-    acts = site.followers["e1"].retire(target(old), site.now)
+    acts = site.followers["e1"].announce_target_gone(target(old), site.now)
     site.perform("e1", acts)
     site.run(1.0)
 
--- a/features/steps/large_steps.py
+++ b/features/steps/large_steps.py
@@ -18,7 +18,7 @@
 from jasperweir.components.configctl import roster as roster_lib
 from jasperweir.components.directory import directory as directory_lib
 from jasperweir.components.directory import records
-from jasperweir.components.follow import follower as follower_lib
+from jasperweir.components.discovery import client as discovery_client
 from jasperweir.components.mapswitch import counter as counter_lib
 from jasperweir.components.mapswitch import group as group_lib
 from jasperweir.components.mapswitch import messages as mapswitch_messages
@@ -173,24 +173,26 @@
 @given("an entry that holds a list of entries with digest {digest:d}")
 def step_entry_with_list(context, digest):
     node = records.Node("e1", "entry", "p", "e1:80", True, 1, 0)
-    context.follower = follower_lib.Follower(node=node, seeds=("c1",), now=0.0)
+    context.client = discovery_client.DiscoveryClient(
+        node=node, seeds=("c1",), now=0.0
+    )
     nodes = tuple(node._replace(name=name) for name in ("e1", "e3", "e5"))
     held = records.Nodes(digest=digest, nodes=nodes)
-    context.follower.receive("c1", held, 0.0)
+    context.client.receive("c1", held, 0.0)
 
 
 @when("it receives a change from digest {before:d} to {after:d}")
 def step_receives_change(context, before, after):
-    gone = context.follower.node._replace(name="e5", open=False)
+    gone = context.client.node._replace(name="e5", open=False)
     news = records.NodeNews(before=before, after=after, nodes=(gone,))
-    context.follower.receive("c1", news, 0.1)
+    context.client.receive("c1", news, 0.1)
 
 
 @then("its heartbeats have digest {digest:d} and it lists {names}")
 def step_digest_and_list(context, digest, names):
-    beats = context.follower.tick(10.0)
-    assert [act.msg.nodes_digest for act in beats] == [digest], beats
-    held = context.follower._controls["c1"].nodes
+    heartbeats = context.client.tick(10.0)
+    assert [act.msg.nodes_digest for act in heartbeats] == [digest], heartbeats
+    held = context.client._controls["c1"].nodes
     assert sorted(held) == names.split(", "), held
 
 
@@ -198,8 +200,8 @@
     """Close an entry as on a stop; it still sends heartbeats."""
     site = context.site
     follower = site.followers[name]
-    follower.ready = lambda now: False
-    site.perform(name, follower.update(is_open=False, now=site.now))
+    follower.is_ready = lambda now: False
+    site.perform(name, follower.set_open(is_open=False, now=site.now))
 
 
 @then('no entry offers "{name}" to callers')
@@ -268,7 +270,7 @@
 def step_starts_with_diskless_seeds(context):
     site = context.site
     node = records.Node("late", "entry", "p", "late:80", False, 77, 0)
-    site.followers["late"] = follower_lib.Follower(
+    site.followers["late"] = discovery_client.DiscoveryClient(
         node=node, seeds=tuple(sorted(site.diskless)), now=site.now
     )
     site.versions["late"] = 0
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -55,7 +55,7 @@
 @when('"{name}" announces that it leaves')
 def announce_leaving(context, name):
     cluster = context.cluster
-    cluster.post(name, cluster.nodes[name].leave())
+    cluster.post(name, cluster.nodes[name].announce_leaving())
 
 
 @when('"{name}" is frozen for {seconds:d} seconds')
--- a/features/steps/quarantine_ledger_steps.py
+++ b/features/steps/quarantine_ledger_steps.py
@@ -20,7 +20,7 @@
 from jasperweir.components.quarantine import messages
 from jasperweir.components.request import actions
 from jasperweir.components.request import events
-from jasperweir.components.request import life as request_life
+from jasperweir.components.request import state_machine as state_machine_lib
 from jasperweir.helpers import codec
 
 WHAT = "bad"
@@ -236,8 +236,8 @@
 
 
 def own_life():
-    return request_life.Life(
-        rid="r", keyed=False, first=True, budget=retry.Budget()
+    return state_machine_lib.RequestStateMachine(
+        rid="r", keyed=False, first=True, budget=retry.RetryBudget()
     )
 
 
@@ -247,16 +247,16 @@
 @given("a request of the own interface that an engine may have begun")
 def step_begun(context):
     context.life = own_life()
-    context.life.on(events.Admitted())
-    context.life.on(events.Picked(name="t", inc=1, http="t:1"))
+    context.life.handle(events.Admitted())
+    context.life.handle(events.Picked(name="t", inc=1, http="t:1"))
     broke = events.Broke(relayed=0, ended=True, engine_end=1)
-    action = context.life.on(broke)
+    action = context.life.handle(broke)
     assert isinstance(action, actions.Pick), action
 
 
 @when("it is denied before its second send, since engines ended under it")
 def step_denied(context):
-    context.action = context.life.on(DENIED)
+    context.action = context.life.handle(DENIED)
 
 
 @then("its caller is told 3001")
@@ -266,7 +266,7 @@
 
 @then("one that is denied before its first send is told 2009")
 def step_not_run(context):
-    action = own_life().on(DENIED)
+    action = own_life().handle(DENIED)
     assert (action.code, action.retry_after) == (2009, 600.0), action
 
 
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -287,12 +287,12 @@
 
 
 def check_retry_budget():
-    retries = retry.Budget()
+    retries = retry.RetryBudget()
     for _ in range(50):
-        retries.spend()
+        retries.try_spend()
     for _ in range(100):
-        retries.first_try()
-    allowed = sum(retries.spend() for _ in range(50))
+        retries.record_first_attempt()
+    allowed = sum(retries.try_spend() for _ in range(50))
     assert 9 <= allowed <= 10, allowed
 
 
--- a/jasperweir/components/claims/client.py
+++ b/jasperweir/components/claims/client.py
@@ -6,40 +6,40 @@
 
 from jasperweir import core
 from jasperweir.components.claims import const
-from jasperweir.components.claims import keeper as keeper_lib
 from jasperweir.components.claims import messages
+from jasperweir.components.claims import owner as owner_lib
 
 Actions = list[Any]
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class PendingAsk:
+class PendingRequest:
     """A request that waits for an answer of the partition's primary."""
 
     record: messages.Record
     expect: int
-    done: Callable[[messages.Reply], None]
+    done: Callable[[messages.ClaimReply], None]
     deadline: float
     sent_at: float = float("-inf")
 
 
-class Client:
+class ClaimClient:
     """Repeats requests to the current primary until an answer or a deadline.
 
     Sans-I/O; the callback of a request is called exactly once.
     """
 
-    def __init__(self, *, keeper: keeper_lib.Keeper) -> None:
-        self._keeper = keeper
-        self._pending: dict[str, PendingAsk] = {}
+    def __init__(self, *, owner: owner_lib.ClaimOwner) -> None:
+        self._owner = owner
+        self._pending: dict[str, PendingRequest] = {}
         self._counter = 0
 
-    def ask(
+    def send_request(
         self,
         *,
         record: messages.Record,
         expect: int,
-        done: Callable[[messages.Reply], None],
+        done: Callable[[messages.ClaimReply], None],
         deadline: float,
         now: float,
     ) -> Actions:
@@ -55,12 +55,12 @@
         """
         self._counter += 1
         ask_id = f"{record.rid}/{self._counter}"
-        self._pending[ask_id] = PendingAsk(
+        self._pending[ask_id] = PendingRequest(
             record=record, expect=expect, done=done, deadline=deadline
         )
         return self._send(ask_id, now)
 
-    def receive(self, msg: messages.Reply, now: float) -> Actions:
+    def receive(self, msg: messages.ClaimReply, now: float) -> Actions:
         """Handle a primary's answer; one that is not awaited is ignored."""
         pending = self._pending.get(msg.ask_id)
         if pending is None:
@@ -79,8 +79,8 @@
             if now >= pending.deadline:
                 del self._pending[ask_id]
                 pending.done(
-                    messages.Reply(
-                        epoch=self._keeper.epoch,
+                    messages.ClaimReply(
+                        epoch=self._owner.epoch,
                         ask_id=ask_id,
                         verdict=const.BLIND,
                         record=None,
@@ -93,11 +93,11 @@
     def _send(self, ask_id: str, now: float) -> Actions:
         pending = self._pending[ask_id]
         pending.sent_at = now
-        primary = self._keeper.primary(pending.record.key)
+        primary = self._owner.primary(pending.record.key)
         if primary is None:
             return []
-        msg = messages.Ask(
-            epoch=self._keeper.epoch,
+        msg = messages.ClaimRequest(
+            epoch=self._owner.epoch,
             ask_id=ask_id,
             record=pending.record,
             expect=pending.expect,
--- a/jasperweir/components/claims/messages.py
+++ b/jasperweir/components/claims/messages.py
@@ -38,7 +38,7 @@
 
 
 @codec.message("claim.ask")
-class Ask(NamedTuple):
+class ClaimRequest(NamedTuple):
     """Request to claim a key, or to change its record at version ``expect``."""
 
     epoch: int
@@ -48,7 +48,7 @@
 
 
 @codec.message("claim.reply")
-class Reply(NamedTuple):
+class ClaimReply(NamedTuple):
     """Answer of the partition's primary owner."""
 
     epoch: int
@@ -75,7 +75,7 @@
 
 
 @codec.message("claim.sync_ask")
-class SyncAsk(NamedTuple):
+class SyncRequest(NamedTuple):
     """Request of a new owner for the records of a previous owner."""
 
     epoch: int
--- a/jasperweir/components/claims/keeper.py
+++ b/jasperweir/components/claims/owner.py
@@ -26,7 +26,7 @@
     acks: set[str] = dataclasses.field(default_factory=set)
 
 
-class Keeper:
+class ClaimOwner:
     """Sans-I/O owner of claim partitions; views come from the replicated log.
 
     A claim is granted only when a majority of the partition's owners stores
@@ -120,21 +120,23 @@
     def receive(self, src: str, src_inc: int, msg: Any, now: float) -> Actions:
         """Handle a message from an entry."""
         match msg:
-            case messages.Ask():
-                return self._on_ask(src, msg, now)
+            case messages.ClaimRequest():
+                return self._on_claim_request(src, msg, now)
             case messages.Replicate():
                 return self._on_replicate(src, msg, now)
             case messages.Replicated():
                 return self._on_replicated(src, msg)
-            case messages.SyncAsk():
-                return self._on_sync_ask(src, msg, now)
+            case messages.SyncRequest():
+                return self._on_sync_request(src, msg, now)
             case messages.SyncReply():
                 self._on_sync_reply((src, src_inc), msg, now)
         return []
 
     # Grants.
 
-    def _on_ask(self, src: str, msg: messages.Ask, now: float) -> Actions:
+    def _on_claim_request(
+        self, src: str, msg: messages.ClaimRequest, now: float
+    ) -> Actions:
         partition = partitions.partition_index(msg.record.key)
         state = self._store.partitions.get(partition)
         if (
@@ -162,7 +164,7 @@
     def _on_known_key(
         self,
         src: str,
-        msg: messages.Ask,
+        msg: messages.ClaimRequest,
         known: messages.Record,
         partition: int,
         now: float,
@@ -195,7 +197,7 @@
     def _store_and_replicate(
         self,
         src: str,
-        msg: messages.Ask,
+        msg: messages.ClaimRequest,
         record: messages.Record,
         now: float,
     ) -> Actions:
@@ -250,7 +252,7 @@
         if len(pending.acks) < pending.needed:
             return []
         del self._pending[msg.key]
-        reply = messages.Reply(
+        reply = messages.ClaimReply(
             epoch=self.epoch,
             ask_id=pending.ask_id,
             verdict=const.GRANTED,
@@ -261,11 +263,11 @@
     def _reply(
         self,
         src: str,
-        msg: messages.Ask,
+        msg: messages.ClaimRequest,
         verdict: str,
         record: messages.Record | None,
     ) -> Actions:
-        reply = messages.Reply(
+        reply = messages.ClaimReply(
             epoch=self.epoch,
             ask_id=msg.ask_id,
             verdict=verdict,
@@ -314,15 +316,15 @@
         return [
             core.Send(
                 dst=name,
-                msg=messages.SyncAsk(
+                msg=messages.SyncRequest(
                     epoch=self.epoch, partitions=tuple(indices)
                 ),
             )
             for (name, _), indices in wanted.items()
         ]
 
-    def _on_sync_ask(
-        self, src: str, msg: messages.SyncAsk, now: float
+    def _on_sync_request(
+        self, src: str, msg: messages.SyncRequest, now: float
     ) -> Actions:
         if msg.epoch != self.epoch:
             # Answering before entering the view would allow this owner to
--- a/jasperweir/components/follow/follower.py
+++ b/jasperweir/components/discovery/client.py
@@ -23,14 +23,14 @@
 # A heartbeat is sent on a tick that comes this much too early.
 _TICK_TOLERANCE_SECONDS = 0.005
 # Heartbeat interval of a process without a current configuration.
-STARTUP_BEAT_SECONDS = 0.1
+STARTUP_HEARTBEAT_SECONDS = 0.1
 # Heartbeat interval to a control VM that does not answer, whatever the usual
 # interval: a leader must know all agents before it can plan.
-UNREACHABLE_BEAT_SECONDS = 0.25
+UNREACHABLE_HEARTBEAT_SECONDS = 0.25
 # Heartbeat interval to control VMs of other data centres. It is a multiple of
 # the interval within the data centre, so that both are sent on one tick; a
 # late heartbeat still arrives before the node counts as silent.
-REMOTE_BEAT_SECONDS = 2 * directory_const.NODE_BEAT_SECONDS
+REMOTE_HEARTBEAT_SECONDS = 2 * directory_const.NODE_BEAT_SECONDS
 # Silence after which a control VM counts as unreachable.
 CONTROL_TIMEOUT_SECONDS = 1.5
 # Validity of the leader's confirmation of the newest version; a version that
@@ -40,7 +40,7 @@
 SINGLE_CONTROL_READY_SECONDS = 1.0
 
 
-class NewContent(NamedTuple):
+class ApplyConfiguration(NamedTuple):
     """Action: put a higher configuration version into force."""
 
     version: int
@@ -52,18 +52,18 @@
     """State of one control VM as this node sees it.
 
     Attributes:
-        beat: Last heartbeat of the control VM, or None before the first.
+        heartbeat: Last heartbeat of the control VM, or None before the first.
         heard_at: Time of its last message, monotonic seconds.
-        beat_sent_at: Time of the last heartbeat sent to it.
+        heartbeat_sent_at: Time of the last heartbeat sent to it.
         targets_digest: Digest of its target list as received here.
         nodes_digest: Digest of its list of entries as received here.
         controls_digest: Digest of its list of control VMs as received here.
         nodes: Open entries that it has listed, by name.
     """
 
-    beat: records.ControlBeat | None = None
+    heartbeat: records.ControlBeat | None = None
     heard_at: float = float("-inf")
-    beat_sent_at: float = float("-inf")
+    heartbeat_sent_at: float = float("-inf")
     targets_digest: int = 0
     nodes_digest: int = 0
     controls_digest: int = 0
@@ -72,10 +72,10 @@
     @property
     def keeps_log(self) -> bool:
         """Whether it stores the log; assumed until its first heartbeat."""
-        return self.beat is None or self.beat.keeps_log
+        return self.heartbeat is None or self.heartbeat.keeps_log
 
 
-class Follower:
+class DiscoveryClient:
     """Discovery client of an entry or agent.
 
     It sends heartbeats to the control VMs and receives configuration versions
@@ -93,7 +93,7 @@
         node: records.Node,
         seeds: tuple[str, ...],
         now: float,
-        beat_s: float = directory_const.NODE_BEAT_SECONDS,
+        heartbeat_s: float = directory_const.NODE_BEAT_SECONDS,
         wants_content: bool = True,
     ) -> None:
         self.node = node
@@ -102,7 +102,7 @@
         self._controls = {seed: Control() for seed in seeds}
         self._seed_count = len(seeds)
         self._wants_content = wants_content
-        self._beat_s = beat_s
+        self._heartbeat_s = heartbeat_s
         self._announced_versions: dict[str, int] = {}
         self._newest_announced_at = 0.0
         self._last_pull_at = float("-inf")
@@ -113,7 +113,7 @@
 
     # State.
 
-    def ready(self, now: float) -> bool:
+    def is_ready(self, now: float) -> bool:
         """Return whether the configuration in force is known to be current."""
         if self._ready_confirmed:
             return True
@@ -127,15 +127,15 @@
         self._ready_confirmed = enough or (reachable > 0 and waited)
         return self._ready_confirmed
 
-    def certain(self, now: float) -> bool:
+    def is_version_confirmed(self, now: float) -> bool:
         """Return whether the leader recently confirmed the version in force.
 
         Without it, a route or key that is unknown here may exist.
         """
         return any(
-            control.beat is not None
-            and control.beat.certain
-            and control.beat.version <= self.version
+            control.heartbeat is not None
+            and control.heartbeat.certain
+            and control.heartbeat.version <= self.version
             and now - control.heard_at < CONFIRMATION_VALID_SECONDS
             for control in self._controls.values()
         )
@@ -156,7 +156,7 @@
             self._open_entries = tuple(found.values())
         return self._open_entries
 
-    def heard_controls(self, now: float) -> list[str]:
+    def reachable_controls(self, now: float) -> list[str]:
         """Return the reachable control VMs that get heartbeats."""
         return [
             name
@@ -168,14 +168,18 @@
         """Return the leader of the highest known term, and that term."""
         best = ("", 0)
         for control in self._reachable_controls(now):
-            beat = control.beat
-            if beat is not None and beat.leader and beat.term > best[1]:
-                best = (beat.leader, beat.term)
+            heartbeat = control.heartbeat
+            if (
+                heartbeat is not None
+                and heartbeat.leader
+                and heartbeat.term > best[1]
+            ):
+                best = (heartbeat.leader, heartbeat.term)
         return best
 
     # Inputs.
 
-    def update(self, *, is_open: bool, now: float) -> Actions:
+    def set_open(self, *, is_open: bool, now: float) -> Actions:
         """Open or close this node for callers and announce the change."""
         if is_open == self.node.open:
             return []
@@ -183,11 +187,13 @@
             open=is_open, sequence=self.node.sequence + 1
         )
         return [
-            self._build_beat(name, control, now)
+            self._build_heartbeat(name, control, now)
             for name, control in self._heartbeat_controls(now)
         ]
 
-    def retire(self, target: records.Target, now: float) -> Actions:
+    def announce_target_gone(
+        self, target: records.Target, now: float
+    ) -> Actions:
         """Mark an incarnation as gone from its address and announce it."""
         held = self.directory.leave(target.target_id, now, target.born)
         if held.presence is not records.Presence.GONE:
@@ -195,7 +201,9 @@
             return []
         return self._send_to_controls(records.News(target=held), now)
 
-    def leaves(self, target: records.Target, now: float) -> Actions:
+    def announce_target_leaving(
+        self, target: records.Target, now: float
+    ) -> Actions:
         """Mark a target as leaving, as its answers state, and announce it."""
         leaving = target._replace(presence=records.Presence.LEAVING)
         if not self.directory.merge(leaving, now):
@@ -212,37 +220,40 @@
         """Run periodic work: expiry, content requests and heartbeats."""
         self.directory.tick(now)
         out = self._pull(now)
-        starting = self._wants_content and not self.ready(now)
+        starting = self._wants_content and not self.is_ready(now)
         for name, control in self._heartbeat_controls(now):
             interval_s = (
-                STARTUP_BEAT_SECONDS
+                STARTUP_HEARTBEAT_SECONDS
                 if starting
-                else self._beat_interval_s(name, control, now)
+                else self._heartbeat_interval_s(name, control, now)
             )
             if (
                 now
-                >= control.beat_sent_at + interval_s - _TICK_TOLERANCE_SECONDS
+                >= control.heartbeat_sent_at
+                + interval_s
+                - _TICK_TOLERANCE_SECONDS
             ):
-                out.append(self._build_beat(name, control, now))
+                out.append(self._build_heartbeat(name, control, now))
         return out
 
     def next_tick(self, now: float) -> float:
         """Return when ``tick`` is due next, in monotonic seconds."""
-        if self._wants_content and not self.ready(now):
-            return now + STARTUP_BEAT_SECONDS
+        if self._wants_content and not self.is_ready(now):
+            return now + STARTUP_HEARTBEAT_SECONDS
         due = [
-            control.beat_sent_at + self._beat_interval_s(name, control, now)
+            control.heartbeat_sent_at
+            + self._heartbeat_interval_s(name, control, now)
             for name, control in self._heartbeat_controls(now)
         ]
         if self._controls_ahead():
             due.append(now + PULL_CHECK_SECONDS)
-        return min(due, default=now + UNREACHABLE_BEAT_SECONDS)
+        return min(due, default=now + UNREACHABLE_HEARTBEAT_SECONDS)
 
     def receive(self, src: str, msg: Any, now: float) -> Actions:
         """Handle a message from a control VM."""
         match msg:
             case records.ControlBeat():
-                return self._on_beat(src, msg, now)
+                return self._on_heartbeat(src, msg, now)
             case records.Targets():
                 return self._on_targets(src, msg, now)
             case records.News():
@@ -262,7 +273,9 @@
             case messages.Content():
                 if msg.version > self.version:
                     self.version = msg.version
-                    return [NewContent(version=msg.version, data=msg.data)]
+                    return [
+                        ApplyConfiguration(version=msg.version, data=msg.data)
+                    ]
         return []
 
     def _mark_heard(self, src: str, now: float) -> Control:
@@ -274,7 +287,7 @@
         return [
             control
             for control in self._controls.values()
-            if control.beat is not None
+            if control.heartbeat is not None
             and now - control.heard_at < CONTROL_TIMEOUT_SECONDS
         ]
 
@@ -286,11 +299,11 @@
         """
         known = list(self._controls.items())
         log_controls = [item for item in known if item[1].keeps_log]
-        if any(control.beat is not None for _, control in log_controls):
+        if any(control.heartbeat is not None for _, control in log_controls):
             return log_controls
         return known
 
-    def _beat_interval_s(
+    def _heartbeat_interval_s(
         self, name: str, control: Control, now: float
     ) -> float:
         """Return the heartbeat interval to a control VM, in seconds.
@@ -299,24 +312,26 @@
         must know all agents only in case they become leader.
         """
         if now - control.heard_at >= CONTROL_TIMEOUT_SECONDS:
-            return UNREACHABLE_BEAT_SECONDS
+            return UNREACHABLE_HEARTBEAT_SECONDS
         if not self._wants_content:
             is_leader = name == self.leader(now)[0]
-            return self._beat_s if is_leader else 2 * self._beat_s
+            return self._heartbeat_s if is_leader else 2 * self._heartbeat_s
         if self._is_local(control):
-            return self._beat_s
-        return max(self._beat_s, REMOTE_BEAT_SECONDS)
+            return self._heartbeat_s
+        return max(self._heartbeat_s, REMOTE_HEARTBEAT_SECONDS)
 
-    def _build_beat(self, name: str, control: Control, now: float) -> core.Send:
-        control.beat_sent_at = now
-        beat = records.NodeBeat(
+    def _build_heartbeat(
+        self, name: str, control: Control, now: float
+    ) -> core.Send:
+        control.heartbeat_sent_at = now
+        heartbeat = records.NodeBeat(
             node=self.node,
             version=self.version,
             digest=control.targets_digest,
             nodes_digest=control.nodes_digest,
             controls_digest=control.controls_digest,
         )
-        return core.Send(dst=name, msg=beat)
+        return core.Send(dst=name, msg=heartbeat)
 
     def _on_node_changes(self, control: Control, msg: records.NodeNews) -> None:
         if control.nodes_digest != msg.before:
@@ -329,11 +344,11 @@
             else:
                 control.nodes.pop(node.name, None)
 
-    def _on_beat(
+    def _on_heartbeat(
         self, src: str, msg: records.ControlBeat, now: float
     ) -> Actions:
         control = self._mark_heard(src, now)
-        control.beat = msg
+        control.heartbeat = msg
         if msg.controls:
             control.controls_digest = msg.controls_digest
         for name in msg.controls:
@@ -400,5 +415,5 @@
         ]
 
     def _is_local(self, control: Control) -> bool:
-        beat = control.beat
-        return beat is not None and beat.place == self.node.place
+        heartbeat = control.heartbeat
+        return heartbeat is not None and heartbeat.place == self.node.place
--- a/jasperweir/components/entry/dispatch.py
+++ b/jasperweir/components/entry/dispatch.py
@@ -82,7 +82,7 @@
         def second() -> hedge.Attempt | None:
             if not self._job.streamed and not self._gone(first):
                 return None
-            if not self._port.call(self._port.entry.budget.spend):
+            if not self._port.call(self._port.entry.budget.try_spend):
                 return None
             other = self._choose((first.name,))
             if other is None:
--- a/jasperweir/components/entry/driver.py
+++ b/jasperweir/components/entry/driver.py
@@ -19,7 +19,7 @@
 from jasperweir.components.request import actions
 from jasperweir.components.request import const
 from jasperweir.components.request import events
-from jasperweir.components.request import life as life_lib
+from jasperweir.components.request import state_machine as state_machine_lib
 from jasperweir.components.runs import const as run_const
 from jasperweir.helpers import web
 
@@ -40,7 +40,7 @@
         self._job = job
         self._started = port.now()
         self._deadline = self._started + job.deadline_s
-        self._life = life_lib.Life(
+        self._life = state_machine_lib.RequestStateMachine(
             rid=job.rid,
             keyed=job.keyed,
             first=job.first,
@@ -63,13 +63,13 @@
 
     def serve(self) -> web.Resp:
         """Return the caller's response; a stream goes on inside its body."""
-        action = self._life.on(self._admit())
+        action = self._life.handle(self._admit())
         while True:
             match action:
                 case actions.Relay() if self._job.streamed:
                     return self._streaming()
                 case actions.Relay():
-                    action = self._life.on(self._read_whole())
+                    action = self._life.handle(self._read_whole())
                 case actions.Finish():
                     return self._finished()
                 case actions.Replay():
@@ -77,7 +77,7 @@
                 case actions.Answer():
                     return self._answer(action)
                 case _:
-                    action = self._life.on(self._perform(action))
+                    action = self._life.handle(self._perform(action))
 
     # Steps before the answer.
 
@@ -162,9 +162,9 @@
             http=self._dispatch.target.http,
         )
         done = threading.Event()
-        replies: list[claim_messages.Reply] = []
+        replies: list[claim_messages.ClaimReply] = []
 
-        def on_reply(reply: claim_messages.Reply) -> None:
+        def on_reply(reply: claim_messages.ClaimReply) -> None:
             replies.append(reply)
             done.set()
 
@@ -183,7 +183,7 @@
             )
         )
         done.wait(patience + 1.0)
-        blind = claim_messages.Reply(
+        blind = claim_messages.ClaimReply(
             epoch=0, ask_id="", verdict=claim_const.BLIND, record=None
         )
         reply = replies[0] if replies else blind
@@ -274,9 +274,9 @@
             while not self._life.ended:
                 if isinstance(action, actions.Relay):
                     yield from self._relay_stream()
-                    action = self._life.on(self._relay_end)
+                    action = self._life.handle(self._relay_end)
                 else:
-                    action = self._life.on(self._perform(action))
+                    action = self._life.handle(self._perform(action))
             match action:
                 case actions.Finish():
                     self._settle(Code.OK)
@@ -289,7 +289,7 @@
                     raise AnswerBrokenError(action.code.name)
         finally:
             if not self._closed:
-                self._life.on(events.CallerLeft())
+                self._life.handle(events.CallerLeft())
                 self._settle(Code.CANCELLED)
 
     def _relay_stream(self) -> Iterator[bytes]:
--- a/jasperweir/components/entry/node.py
+++ b/jasperweir/components/entry/node.py
@@ -8,10 +8,10 @@
 from jasperweir import core
 from jasperweir.components.address import answer as address_lib
 from jasperweir.components.burn import windows as windows_lib
-from jasperweir.components.claims import client as claim_client
+from jasperweir.components.claims import client as claim_client_lib
 from jasperweir.components.claims import const as claim_const
-from jasperweir.components.claims import keeper as keeper_lib
 from jasperweir.components.claims import messages as claim_messages
+from jasperweir.components.claims import owner as owner_lib
 from jasperweir.components.config import replica as replica_lib
 from jasperweir.components.control import client as control_client
 from jasperweir.components.control import messages as control_messages
@@ -49,8 +49,8 @@
         gossip: Records of all nodes.
         replica: Configuration in force here.
         router: Choice of targets.
-        keeper: Claims that this entry owns.
-        claims: Claims that this entry asks for.
+        claim_owner: Claims that this entry owns.
+        claim_client: Claims that this entry requests.
         control: Conversation with the control VMs.
         budget: Retry budget of all requests.
         burn: Counts for the service-level report.
@@ -88,14 +88,14 @@
         self.router = router_lib.Router(
             roster=self.gossip.roster, rng=rng, regions={}
         )
-        self.keeper = keeper_lib.Keeper(
+        self.claim_owner = owner_lib.ClaimOwner(
             name=identity.name,
             inc=identity.inc,
             window=claim_const.DEFAULT_WINDOW_SECONDS,
         )
-        self.claims = claim_client.Client(keeper=self.keeper)
+        self.claim_client = claim_client_lib.ClaimClient(owner=self.claim_owner)
         self.control = control_client.Client(voters=voters, rng=rng)
-        self.budget = retry.Budget()
+        self.budget = retry.RetryBudget()
         self.burn = windows_lib.Windows()
         self.ledger = ledger_lib.Ledger()
         self._spread = spread_lib.EntrySpread(ledger=self.ledger)
@@ -118,9 +118,9 @@
         out = self.gossip.tick(now)
         out += self.control.ask_floor(now)
         self._follow_config()
-        out += self.keeper.on_view(self.replica.view(), now)
-        out += self.keeper.tick(now)
-        out += self.claims.tick(now)
+        out += self.claim_owner.on_view(self.replica.view(), now)
+        out += self.claim_owner.tick(now)
+        out += self.claim_client.tick(now)
         if self.serving and self.gossip.roster.own.status == Status.JOINING:
             self.gossip.touch(status=Status.ALIVE)
         out += self._beat(now)
@@ -140,7 +140,7 @@
             case control_messages.BeatAck():
                 confirmed = self.control.on_ack(msg, now)
                 if confirmed is not None:
-                    self.keeper.confirm(*confirmed)
+                    self.claim_owner.confirm(*confirmed)
                 return []
             case control_messages.FloorReply():
                 self.control.on_floor(msg, now)
@@ -148,10 +148,10 @@
                 return []
             case quarantine_messages.Marks() | quarantine_messages.Compare():
                 return list(self._spread.receive(src, msg, now))
-            case claim_messages.Reply():
-                return self.claims.receive(msg, now)
+            case claim_messages.ClaimReply():
+                return self.claim_client.receive(msg, now)
         if type(msg).__module__ == claim_messages.__name__:
-            return self.keeper.receive(src, src_inc, msg, now)
+            return self.claim_owner.receive(src, src_inc, msg, now)
         return self.gossip.receive(src, msg, now)
 
     def _loop_back(self, out: Actions, now: float) -> Actions:
@@ -206,12 +206,12 @@
         *,
         record: claim_messages.Record,
         expect: int,
-        done: Callable[[claim_messages.Reply], None],
+        done: Callable[[claim_messages.ClaimReply], None],
         deadline: float,
         now: float,
     ) -> Actions:
         """Ask for a claim; ``done`` is called once, now or later."""
-        out = self.claims.ask(
+        out = self.claim_client.send_request(
             record=record, expect=expect, done=done, deadline=deadline, now=now
         )
         return self._loop_back(out, now)
@@ -286,7 +286,7 @@
             inc=own.inc,
             place=own.place,
             revision=self.replica.table.revision,
-            ready_epoch=self.keeper.ready_epoch,
+            ready_epoch=self.claim_owner.ready_epoch,
             burn=self._burn_rate(now),
             now=now,
         )
@@ -309,7 +309,7 @@
         bundle = self.replica.bundle
         assert bundle is not None
         self.router.set_regions(self.replica.regions())
-        self.keeper.window = bundle.callers.claim_window_s
+        self.claim_owner.window = bundle.callers.claim_window_s
         self._limits_version = -1
 
     def _follow_targets(self) -> None:
--- a/jasperweir/components/limits/retry.py
+++ b/jasperweir/components/limits/retry.py
@@ -5,7 +5,7 @@
 from jasperweir.components.limits import const
 
 
-class Budget:
+class RetryBudget:
     """Token bucket that limits retries to a share of first attempts."""
 
     def __init__(
@@ -18,11 +18,11 @@
         self._burst = burst
         self._tokens = burst
 
-    def first_try(self) -> None:
+    def record_first_attempt(self) -> None:
         """Add a fraction of a retry for a first attempt."""
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
-    def spend(self) -> bool:
+    def try_spend(self) -> bool:
         """Use up a retry; return whether one was available."""
         if self._tokens < 1:
             return False
--- a/jasperweir/components/membership/announcer.py
+++ b/jasperweir/components/membership/announcer.py
@@ -48,20 +48,20 @@
         self.member = self.member._replace(seq=self.member.seq + 1, **changes)
         return self._announce_all()
 
-    def ready(self, ready: bool) -> Actions:
+    def set_ready(self, ready: bool) -> Actions:
         """Announce whether the target accepts new requests."""
         wanted = Status.ALIVE if ready else Status.JOINING
         if self.member.status in (wanted, Status.LEAVING, Status.LEFT):
             return []
         return self.update(status=wanted)
 
-    def leave(self) -> Actions:
+    def announce_leaving(self) -> Actions:
         """Announce that the target is leaving and accepts no new requests."""
         if self.member.status >= Status.LEAVING:
             return []
         return self.update(status=Status.LEAVING)
 
-    def left(self) -> Actions:
+    def announce_left(self) -> Actions:
         """Announce that the target has stopped in an orderly way."""
         return self.update(status=Status.LEFT)
 
--- a/jasperweir/components/request/life.py
+++ b/jasperweir/components/request/state_machine.py
@@ -28,7 +28,7 @@
     ENDED = "ended"
 
 
-class Life:
+class RequestStateMachine:
     """State machine of one request; sans-I/O.
 
     The outcome "not run" requires that every agent to which a run id of this
@@ -49,7 +49,7 @@
         rid: str,
         keyed: bool,
         first: bool,
-        budget: retry.Budget,
+        budget: retry.RetryBudget,
     ) -> None:
         self.rid = rid
         self.step = Step.ADMISSION
@@ -85,7 +85,7 @@
         """Id of the run whose answer is read."""
         return self._run_rid
 
-    def on(self, event: events.Event) -> actions.Action:
+    def handle(self, event: events.Event) -> actions.Action:
         """Process an event and return the next action."""
         match event:
             case events.Expired():
@@ -101,7 +101,7 @@
                     )
                 )
             case events.Admitted():
-                self._budget.first_try()
+                self._budget.record_first_attempt()
                 return self._choose_target()
             case events.NoTarget():
                 return self._end_without_target()
@@ -317,7 +317,7 @@
             self._tried_targets.append(self.target.name)
         if self._try_count >= const.MAX_TRIES:
             return self._end_without_target()
-        if self._try_count and not self._budget.spend():
+        if self._try_count and not self._budget.try_spend():
             return self._end_without_target()
         if self._keyed and self._was_sent_elsewhere():
             self.rid = f"{self.rid}+"
--- a/jasperweir/daemons/agent.py
+++ b/jasperweir/daemons/agent.py
@@ -129,7 +129,7 @@
         self.table.leaving = True
         self.host.log.info("leaving: no new work is taken")
         self.host.runner.call(
-            lambda: self._perform(self.agent.announcer.leave())
+            lambda: self._perform(self.agent.announcer.announce_leaving())
         )
         threading.Thread(
             target=self._wait_for_runs, name="drain", daemon=True
@@ -141,7 +141,7 @@
         while self.executor.active() and clocks.elapsed() < deadline:
             time.sleep(0.1)
         self.host.runner.call(
-            lambda: self._perform(self.agent.announcer.left())
+            lambda: self._perform(self.agent.announcer.announce_left())
         )
         time.sleep(0.2)
         self._done.set()
@@ -173,7 +173,7 @@
         now = self.host.now()
         self._perform(self.agent.tick(now))
         self.table.ready = self.agent.ready and self.side.up
-        self._perform(self.agent.announcer.ready(self.table.ready))
+        self._perform(self.agent.announcer.set_ready(self.table.ready))
         self.executor.tick()
         self.host.export_link(now)
         self.host.metrics.gauge("runs_active", self.table.active())
--- a/jasperweir/daemons/entry.py
+++ b/jasperweir/daemons/entry.py
@@ -158,7 +158,7 @@
         metrics.gauge("revision", self.entry.replica.table.revision)
         metrics.gauge("bundle_version", self.entry.replica.version)
         metrics.gauge("requests_active", self.entry.active())
-        metrics.gauge("claims_held", len(self.entry.keeper))
+        metrics.gauge("claims_held", len(self.entry.claim_owner))
         if self.entry.replica.version != self._version:
             self._version = self.entry.replica.version
             self.host.log.info(f"bundle version {self._version} in force")
@@ -191,9 +191,11 @@
                 "version": entry.replica.version,
                 "revision": entry.replica.table.revision,
                 "floor": entry.replica.floor,
-                "claims_epoch": entry.keeper.epoch,
-                "claims_ready_epoch": entry.keeper.ready_epoch,
-                "claims_confirmed": entry.keeper.has_authority(self.host.now()),
+                "claims_epoch": entry.claim_owner.epoch,
+                "claims_ready_epoch": entry.claim_owner.ready_epoch,
+                "claims_confirmed": entry.claim_owner.has_authority(
+                    self.host.now()
+                ),
                 "draining": entry.draining,
                 "control_heard_s_ago": round(min(age, 1e9), 1),
             },
--- a/jasperweir/daemons/site_agent.py
+++ b/jasperweir/daemons/site_agent.py
@@ -6,7 +6,7 @@
 from jasperweir import core
 from jasperweir.components.directory import const as directory_const
 from jasperweir.components.directory import records
-from jasperweir.components.follow import follower as follower_lib
+from jasperweir.components.discovery import client as discovery_client
 from jasperweir.components.mapswitch import const
 from jasperweir.components.mapswitch import counter as counter_lib
 from jasperweir.components.mapswitch import messages
@@ -44,11 +44,11 @@
             incarnation=self._host.incarnation,
             sequence=0,
         )
-        self._follower = follower_lib.Follower(
+        self._discovery = discovery_client.DiscoveryClient(
             node=node,
             seeds=cfg.seeds,
             now=self._host.now(),
-            beat_s=BEAT_SECONDS,
+            heartbeat_s=BEAT_SECONDS,
             wants_content=False,
         )
         self._engine = engine_client.EngineClient(
@@ -76,8 +76,8 @@
 
     def _follow(self) -> None:
         now = self._host.now()
-        self._perform(self._follower.tick(now))
-        self._follow_alarm.set(self._follower.next_tick(now))
+        self._perform(self._discovery.tick(now))
+        self._follow_alarm.set(self._discovery.next_tick(now))
 
     def _on_frame(self, src: str, msg: Any) -> None:
         match msg:
@@ -95,8 +95,8 @@
                 self._runner.on_term(msg.term)
             case _:
                 now = self._host.now()
-                self._perform(self._follower.receive(src, msg, now))
-                self._follow_alarm.set(self._follower.next_tick(now))
+                self._perform(self._discovery.receive(src, msg, now))
+                self._follow_alarm.set(self._discovery.next_tick(now))
 
     def _read(self) -> None:
         if self._reading:
--- a/jasperweir/daemons/site_entry.py
+++ b/jasperweir/daemons/site_entry.py
@@ -16,7 +16,7 @@
 from jasperweir.components.deployment import model
 from jasperweir.components.directory import const as directory_const
 from jasperweir.components.directory import records
-from jasperweir.components.follow import follower as follower_lib
+from jasperweir.components.discovery import client as discovery_client
 from jasperweir.components.forward import dialect as dialect_lib
 from jasperweir.components.forward import end_watch
 from jasperweir.components.forward import forwarder as forwarder_lib
@@ -93,7 +93,7 @@
             incarnation=self._host.incarnation,
             sequence=0,
         )
-        self._follower = follower_lib.Follower(
+        self._discovery = discovery_client.DiscoveryClient(
             node=node, seeds=cfg.seeds, now=self._host.now()
         )
         bounds = budget_lib.BudgetBounds(
@@ -105,7 +105,7 @@
             clock=self._host.clock,
             rng=self._host.rng,
             dialect=dialect,
-            directory=self._follower.directory,
+            directory=self._discovery.directory,
             neighbours=neighbours_lib.Neighbours(
                 name=cfg.internal, place=cfg.place
             ),
@@ -169,21 +169,21 @@
 
     def _follow(self) -> None:
         now = self._host.now()
-        self._perform(self._follower.tick(now))
-        self._follow_alarm.set(self._follower.next_tick(now))
+        self._perform(self._discovery.tick(now))
+        self._follow_alarm.set(self._discovery.next_tick(now))
         if self._stopping_at:
             self._follow_alarm.set(now + STOP_TICK_SECONDS)
             self._drive_stop(now)
             return
-        if not self._follower.node.open:
+        if not self._discovery.node.open:
             # What targets must be kept from is known before callers come.
             self._compare_marks()
         is_open = self._forwarder.index is not None
-        is_open = is_open and self._follower.ready(now)
-        if is_open and not self._follower.node.open:
-            _log.info("ready", version=self._follower.version)
+        is_open = is_open and self._discovery.is_ready(now)
+        if is_open and not self._discovery.node.open:
+            _log.info("ready", version=self._discovery.version)
             self._share_all()
-        self._perform(self._follower.update(is_open=is_open, now=now))
+        self._perform(self._discovery.set_open(is_open=is_open, now=now))
 
     def _on_frame(self, src: str, msg: Any) -> None:
         now = self._host.now()
@@ -202,17 +202,17 @@
                 paces = {t.address: t.pace for t in msg.targets}
                 self._forwarder.on_paces(paces, now)
                 return
-        self._perform(self._follower.receive(src, msg, now))
-        if not self._follower.node.open and not self._stopping_at:
+        self._perform(self._discovery.receive(src, msg, now))
+        if not self._discovery.node.open and not self._stopping_at:
             # What has come may be what it waited for.
             self._follow()
-        self._follow_alarm.set(self._follower.next_tick(now))
+        self._follow_alarm.set(self._discovery.next_tick(now))
 
     def _on_marks(self, marks: end_watch.Marks) -> None:
         """Tell the other processes under which requests targets ended."""
         now = self._host.now()
         names = [node.name for node in self._forwarder.neighbours.peers]
-        names += self._follower.heard_controls(now)
+        names += self._discovery.reachable_controls(now)
         self._send_all(spread_lib.tell(marks, names))
         self._forwarder.on_marks(now)
 
@@ -221,21 +221,23 @@
         self._forwarder.ends.tick(now)
         ledger = self._forwarder.ends.ledger
         self._host.metrics.gauge("requests_held", float(len(ledger.held(now))))
-        self._send_all(self._spread.compare(self._follower.heard_controls(now)))
+        self._send_all(
+            self._spread.compare(self._discovery.reachable_controls(now))
+        )
 
     def _send_all(self, sends: list[core.Send]) -> None:
         for act in sends:
             self._host.send(act)
 
-    def _perform(self, acts: follower_lib.Actions) -> None:
+    def _perform(self, acts: discovery_client.Actions) -> None:
         for act in acts:
             match act:
                 case core.Send():
                     self._host.send(act)
-                case follower_lib.NewContent():
+                case discovery_client.ApplyConfiguration():
                     self._put_in_force(act)
 
-    def _put_in_force(self, act: follower_lib.NewContent) -> None:
+    def _put_in_force(self, act: discovery_client.ApplyConfiguration) -> None:
         deployment = self._dialect.deployment(zlib.decompress(act.data))
         index = index_lib.Index(deployment=deployment)
         self._forwarder.index = index
@@ -246,16 +248,18 @@
         _log.info("version in force", version=act.version)
 
     def _is_certain(self) -> bool:
-        return self._follower.certain(self._host.now())
+        return self._discovery.is_version_confirmed(self._host.now())
 
     def _on_replaced(self, target: records.Target) -> None:
         _log.info("target replaced", target=target.target_id)
         now = self._host.now()
-        self._perform(self._follower.retire(target, now))
+        self._perform(self._discovery.announce_target_gone(target, now))
 
     def _on_leaving(self, target: records.Target) -> None:
         """Tell the other entries of a target that says it leaves."""
-        self._perform(self._follower.leaves(target, self._host.now()))
+        self._perform(
+            self._discovery.announce_target_leaving(target, self._host.now())
+        )
 
     def _on_load_change(self) -> None:
         if self._share_due:
@@ -266,7 +270,7 @@
 
     def _share_all(self) -> None:
         """Look who the other entries are, and tell them in any case."""
-        entries = self._follower.open_entries(self._host.now())
+        entries = self._discovery.open_entries(self._host.now())
         self._forwarder.on_entries(entries)
         self._share()
 
@@ -286,7 +290,7 @@
         if self._server is not None:
             self._server.stopping = True
         self._perform(
-            self._follower.update(is_open=False, now=self._stopping_at)
+            self._discovery.set_open(is_open=False, now=self._stopping_at)
         )
         self._follow_alarm.set(self._stopping_at + STOP_TICK_SECONDS)
 
@@ -309,7 +313,7 @@
     # Questions of the platform and of callers.
 
     def _on_ready_check(self, answering: http_server.Answering) -> None:
-        ready = self._follower.node.open and not self._stopping_at
+        ready = self._discovery.node.open and not self._stopping_at
         answering.reply(200 if ready else 503, [], b"")
 
     def _on_lookup(self, answering: http_server.Answering) -> None:
@@ -317,7 +321,7 @@
         if asked is None:
             answering.reply(404, [], b"")
             return
-        entries = self._follower.open_entries(self._host.now())
+        entries = self._discovery.open_entries(self._host.now())
         found = near_lib.choose_addresses(entries, asked.place, self._host.rng)
         if not found:
             self._host.metrics.inc("lookups", outcome="none")
--- a/script/slopes.py
+++ b/script/slopes.py
@@ -15,8 +15,8 @@
 
 from jasperweir import core
 from jasperweir.components.bundle import model
-from jasperweir.components.claims import keeper as keeper_lib
 from jasperweir.components.claims import messages as claim_messages
+from jasperweir.components.claims import owner as owner_lib
 from jasperweir.components.claims import partitions
 from jasperweir.components.config import replica as replica_lib
 from jasperweir.components.config import table as table_lib
@@ -248,9 +248,9 @@
         return found
 
     def claims(count: int) -> Any:
-        keeper = keeper_lib.Keeper(name="e", inc=1, window=600)
-        keeper.on_view(ops.View(1, (("e", 1, "p"),)), 0.0)
-        keeper.confirm(1, 0.0)
+        owner = owner_lib.ClaimOwner(name="e", inc=1, window=600)
+        owner.on_view(ops.View(1, (("e", 1, "p"),)), 0.0)
+        owner.confirm(1, 0.0)
         for i in range(count):
             record = claim_messages.Record(
                 key=f"customer-{i % 15000}\x1f{i:016x}",
@@ -260,8 +260,10 @@
                 target_inc=1764680000000,
                 http="10.20.30.40:8090",
             )
-            keeper.receive("e", 1, claim_messages.Ask(1, "a", record, 0), 0.0)
-        return keeper
+            owner.receive(
+                "e", 1, claim_messages.ClaimRequest(1, "a", record, 0), 0.0
+            )
+        return owner
 
     row = {
         "roster_bytes_per_record": memory_of(roster, 2000),
