--- a/features/harness/world.py
+++ b/features/harness/world.py
@@ -9,7 +9,7 @@
 from jasperweir.components.request import actions
 from jasperweir.components.request import events
 from jasperweir.components.request import state_machine as state_machine_lib
-from jasperweir.components.runs import table as table_lib
+from jasperweir.components.runs import run_table as run_table_lib
 
 Outcome = result_codes.Outcome
 NETWORK = ("unsent", "lost request", "lost answer", "restart before",
@@ -36,7 +36,7 @@
         self.fresh()
 
     def fresh(self) -> None:
-        self.table = table_lib.Table(capacity={"s": 4})
+        self.table = run_table_lib.RunTable(capacity={"s": 4})
         self.table.ready = True
 
     def restart(self) -> None:
@@ -162,7 +162,7 @@
             case "restart before":
                 agent.restart()
             case "leaving":
-                agent.table.leaving = True
+                agent.table.draining = True
             case "full":
                 agent.table.set_capacity("s", 0)
         if agent.inc != inc:
@@ -179,7 +179,7 @@
         match action:
             case actions.Reserve():
                 verdict = table.reserve(action.rid, "s", 0.0)
-                if isinstance(verdict, table_lib.Refused):
+                if isinstance(verdict, run_table_lib.Refused):
                     return events.Refused(reason=verdict.reason)
                 return events.Reserved()
             case actions.Run():
@@ -187,24 +187,24 @@
                     action.rid, "s", 0.0, reserved=action.reserved
                 )
                 match verdict:
-                    case table_lib.Refused():
+                    case run_table_lib.Refused():
                         return events.Refused(reason=verdict.reason)
-                    case table_lib.Start():
+                    case run_table_lib.Start():
                         self.runs.append(f"{agent.name}:{action.rid}")
                 return events.Head()
             case actions.Revoke():
                 verdict = table.revoke(action.rid, "s", 0.0)
-                if isinstance(verdict, table_lib.Refused):
+                if isinstance(verdict, run_table_lib.Refused):
                     return events.Refused(reason=verdict.reason)
                 return events.Exists()
             case actions.Attach():
                 run = table.get(action.rid)
                 if run is None or run.state in (
-                    table_lib.State.RESERVED,
-                    table_lib.State.REVOKED,
+                    run_table_lib.State.RESERVED,
+                    run_table_lib.State.REVOKED,
                 ):
                     return events.Unknown()
-                if run.state == table_lib.State.BROKEN:
+                if run.state == run_table_lib.State.BROKEN:
                     return events.Broke(relayed=self.offset, ended=True)
                 return events.Head()
         raise AssertionError(action)
@@ -223,9 +223,9 @@
                 agent.restart()
                 return events.Broke(relayed=self.offset)
             case "run breaks":
-                agent.table.finished(life.run_rid, 0.0, whole=False)
+                agent.table.finish(life.run_rid, 0.0, whole=False)
                 return events.Broke(relayed=self.offset, ended=True)
-        agent.table.finished(life.run_rid, 0.0, whole=True)
+        agent.table.finish(life.run_rid, 0.0, whole=True)
         return events.Whole()
 
     def finish(self, life) -> None:
--- a/features/runs.feature
+++ b/features/runs.feature
@@ -1,16 +1,16 @@
 Feature: An agent starts a request at most once
 
-  Scenario Outline: Guard of runs
-    Then the run table holds: <guard>
+  Scenario Outline: Rules of runs
+    Then this rule of runs holds: <rule>
 
     Examples:
-      | guard                                    |
-      | a keyed request needs a reservation      |
-      | a reservation ends                       |
-      | a revoked id never starts                |
-      | a started id is joined, not run again    |
-      | a leaving agent takes nothing new        |
-      | a full agent refuses                     |
-      | slots come back                          |
-      | a run nobody reads is an orphan          |
-      | old answers are forgotten                |
+      | rule                                       |
+      | a keyed request needs a reservation        |
+      | a reservation expires                      |
+      | a revoked id never starts                  |
+      | a started id is attached to, not run again |
+      | a draining agent accepts no new runs       |
+      | a full agent refuses                       |
+      | slots are freed                            |
+      | a run without readers is orphaned          |
+      | old answers are dropped                    |
--- a/features/steps/runs_steps.py
+++ b/features/steps/runs_steps.py
@@ -1,125 +1,125 @@
-"""Steps on the agent's run table."""
+"""Steps for the run table of an agent."""
 
 from behave import then
 
 from jasperweir.components.runs import const
-from jasperweir.components.runs import table as table_lib
+from jasperweir.components.runs import run_table as run_table_lib
 
-State = table_lib.State
+State = run_table_lib.State
 
 
-def fresh(limit=2):
-    table = table_lib.Table(capacity={"s": limit})
+def create_table(limit=2):
+    table = run_table_lib.RunTable(capacity={"s": limit})
     table.ready = True
     return table
 
 
-def needs_reservation():
-    verdict = fresh().start("a", "s", 0.0, reserved=True)
-    assert verdict == table_lib.Refused(const.REFUSED_RESERVATION)
+def check_reservation_needed():
+    verdict = create_table().start("a", "s", 0.0, reserved=True)
+    assert verdict == run_table_lib.Refused(const.REFUSED_RESERVATION)
 
 
-def reservation_ends():
-    table = fresh()
+def check_reservation_expiry():
+    table = create_table()
     table.reserve("a", "s", 0.0)
-    late = const.RESERVE_SECONDS + 1
+    late = const.RESERVATION_SECONDS + 1
     verdict = table.start("a", "s", late, reserved=True)
-    assert isinstance(verdict, table_lib.Refused), verdict
+    assert isinstance(verdict, run_table_lib.Refused), verdict
     assert table.active() == 0
 
 
-def revoked():
-    table = fresh()
+def check_revocation():
+    table = create_table()
     table.reserve("a", "s", 0.0)
     table.revoke("a", "s", 0.0)
     for rid in ("a", "never-seen"):
         table.revoke(rid, "s", 0.0)
         verdict = table.start(rid, "s", 0.0, reserved=False)
-        assert verdict == table_lib.Refused(const.REFUSED_REVOKED), verdict
+        assert verdict == run_table_lib.Refused(const.REFUSED_REVOKED), verdict
 
 
-def joined():
-    table = fresh()
-    assert table.start("a", "s", 0.0, reserved=False) == table_lib.Start()
+def check_single_start():
+    table = create_table()
+    assert table.start("a", "s", 0.0, reserved=False) == run_table_lib.Start()
     again = table.start("a", "s", 0.0, reserved=False)
-    assert again == table_lib.Attach(State.RUNNING)
-    assert table.revoke("a", "s", 0.0) == table_lib.Attach(State.RUNNING)
-    table.finished("a", 0.0, whole=True)
+    assert again == run_table_lib.Attach(State.RUNNING)
+    assert table.revoke("a", "s", 0.0) == run_table_lib.Attach(State.RUNNING)
+    table.finish("a", 0.0, whole=True)
     done = table.start("a", "s", 0.0, reserved=False)
-    assert done == table_lib.Attach(State.DONE)
+    assert done == run_table_lib.Attach(State.DONE)
 
 
-def leaving():
-    table = fresh()
+def check_draining():
+    table = create_table()
     table.reserve("a", "s", 0.0)
-    table.leaving = True
+    table.draining = True
     new = table.start("b", "s", 0.0, reserved=False)
-    assert new == table_lib.Refused(const.REFUSED_LEAVING)
-    # What was reserved before may still run.
-    assert table.start("a", "s", 0.0, reserved=True) == table_lib.Start()
+    assert new == run_table_lib.Refused(const.REFUSED_LEAVING)
+    # An earlier reservation may still start.
+    assert table.start("a", "s", 0.0, reserved=True) == run_table_lib.Start()
 
 
-def full():
-    table = fresh(1)
+def check_full_agent():
+    table = create_table(1)
     table.start("a", "s", 0.0, reserved=False)
     verdict = table.start("b", "s", 0.0, reserved=False)
-    assert verdict == table_lib.Refused(const.REFUSED_FULL)
+    assert verdict == run_table_lib.Refused(const.REFUSED_FULL)
     wrong = table.start("c", "other", 0.0, reserved=False)
-    assert wrong == table_lib.Refused(const.REFUSED_SERVICE)
+    assert wrong == run_table_lib.Refused(const.REFUSED_SERVICE)
 
 
-def slots_back():
-    table = fresh(1)
+def check_slots_freed():
+    table = create_table(1)
     table.reserve("a", "s", 0.0)
-    table.expire(const.RESERVE_SECONDS + 1)
+    table.expire(const.RESERVATION_SECONDS + 1)
     assert table.active() == 0
     table.start("b", "s", 50.0, reserved=False)
-    table.finished("b", 51.0, whole=False)
+    table.finish("b", 51.0, whole=False)
     assert table.active() == 0 and table.get("b").state == State.BROKEN
 
 
-def orphan():
-    table = fresh()
+def check_orphaned_run():
+    table = create_table()
     table.start("a", "s", 0.0, reserved=False)
-    table.joined("a")
-    table.parted("a", 1.0)
-    assert table.orphans(1.0 + const.ORPHAN_SECONDS - 0.1) == []
-    assert table.orphans(1.0 + const.ORPHAN_SECONDS) == ["a"]
-    table.joined("a")
-    assert table.orphans(100.0) == []
-    # The answer of a keyed run is wanted by its caller's resend.
+    table.add_reader("a")
+    table.remove_reader("a", 1.0)
+    assert table.orphaned_runs(1.0 + const.ORPHAN_TIMEOUT_SECONDS - 0.1) == []
+    assert table.orphaned_runs(1.0 + const.ORPHAN_TIMEOUT_SECONDS) == ["a"]
+    table.add_reader("a")
+    assert table.orphaned_runs(100.0) == []
+    # A keyed run continues, since its request may be resent.
     table.reserve("k", "s", 0.0)
     table.start("k", "s", 0.0, reserved=True)
-    table.joined("k")
-    table.parted("k", 1.0)
-    assert table.orphans(100.0) == []
+    table.add_reader("k")
+    table.remove_reader("k", 1.0)
+    assert table.orphaned_runs(100.0) == []
 
 
-def forgotten():
-    table = fresh()
+def check_answer_retention():
+    table = create_table()
     table.start("a", "s", 0.0, reserved=False)
-    table.finished("a", 0.0, whole=True)
+    table.finish("a", 0.0, whole=True)
     table.reserve("k", "s", 0.0)
     table.start("k", "s", 0.0, reserved=True)
-    table.finished("k", 0.0, whole=True)
-    assert table.expire(const.RESUME_SECONDS) == ["a"]
+    table.finish("k", 0.0, whole=True)
+    assert table.expire(const.RESUMABLE_SECONDS) == ["a"]
     assert table.get("k").state == State.DONE
-    assert table.expire(const.KEPT_SECONDS) == ["k"]
-
-
-GUARDS = {
-    "a keyed request needs a reservation": needs_reservation,
-    "a reservation ends": reservation_ends,
-    "a revoked id never starts": revoked,
-    "a started id is joined, not run again": joined,
-    "a leaving agent takes nothing new": leaving,
-    "a full agent refuses": full,
-    "slots come back": slots_back,
-    "a run nobody reads is an orphan": orphan,
-    "old answers are forgotten": forgotten,
+    assert table.expire(const.RETENTION_SECONDS) == ["k"]
+
+
+RUN_RULES = {
+    "a keyed request needs a reservation": check_reservation_needed,
+    "a reservation expires": check_reservation_expiry,
+    "a revoked id never starts": check_revocation,
+    "a started id is attached to, not run again": check_single_start,
+    "a draining agent accepts no new runs": check_draining,
+    "a full agent refuses": check_full_agent,
+    "slots are freed": check_slots_freed,
+    "a run without readers is orphaned": check_orphaned_run,
+    "old answers are dropped": check_answer_retention,
 }
 
 
-@then("the run table holds: {guard}")
-def run_guard(context, guard):
-    GUARDS[guard]()
+@then("this rule of runs holds: {rule}")
+def check_run_rule(context, rule):
+    RUN_RULES[rule]()
--- a/jasperweir/components/agent/executor.py
+++ b/jasperweir/components/agent/executor.py
@@ -10,7 +10,7 @@
 from jasperweir.components.agent import buffer as buffer_lib
 from jasperweir.components.agent import ends as ends_lib
 from jasperweir.components.runs import const
-from jasperweir.components.runs import table as table_lib
+from jasperweir.components.runs import run_table as run_table_lib
 
 CONNECT_SECONDS = 1.0
 READ_SECONDS = 60.0
@@ -49,7 +49,7 @@
         self,
         *,
         url: str,
-        table: table_lib.Table,
+        table: run_table_lib.RunTable,
         now: Callable[[], float],
         threads: int,
     ) -> None:
@@ -66,25 +66,25 @@
             num_pools=4, maxsize=threads, block=False, retries=False
         )
 
-    def reserve(self, rid: str, service: str) -> table_lib.Verdict:
+    def reserve(self, rid: str, service: str) -> run_table_lib.Verdict:
         """Reserve a run id."""
         with self._lock:
             return self._table.reserve(rid, service, self._now())
 
-    def revoke(self, rid: str, service: str) -> table_lib.Verdict:
+    def revoke(self, rid: str, service: str) -> run_table_lib.Verdict:
         """Make sure that a run id never starts."""
         with self._lock:
             return self._table.revoke(rid, service, self._now())
 
     def start(
         self, rid: str, service: str, *, reserved: bool
-    ) -> table_lib.Verdict:
+    ) -> run_table_lib.Verdict:
         """Ask the table whether this run starts now."""
         with self._lock:
             verdict = self._table.start(
                 rid, service, self._now(), reserved=reserved
             )
-            if isinstance(verdict, table_lib.Start):
+            if isinstance(verdict, run_table_lib.Start):
                 self._buffers[rid] = buffer_lib.Buffer()
             return verdict
 
@@ -92,7 +92,7 @@
         """Return the answer of a run that started and is still kept."""
         return self._buffers.get(rid)
 
-    def state(self, rid: str) -> table_lib.State | None:
+    def state(self, rid: str) -> run_table_lib.State | None:
         """Return the state of a run id."""
         run = self._table.get(rid)
         return run.state if run else None
@@ -143,19 +143,19 @@
         """
         buf = self._buffers[rid]
         with self._lock:
-            self._table.joined(rid)
+            self._table.add_reader(rid)
         try:
             yield from buf.read(offset)
             if not buf.whole:
                 raise BrokenAnswerError("run broke")
         finally:
             with self._lock:
-                self._table.parted(rid, self._now())
+                self._table.remove_reader(rid, self._now())
 
     def lead(self, rid: str, pull: Iterator[bytes]) -> Iterator[bytes]:
         """Yield a run's answer while pulling it, as its first reader."""
         with self._lock:
-            self._table.joined(rid)
+            self._table.add_reader(rid)
         ended = False
         try:
             # Not "yield from": closing this reader must not close the pull.
@@ -166,7 +166,7 @@
                 raise BrokenAnswerError("run broke")
         finally:
             with self._lock:
-                self._table.parted(rid, self._now())
+                self._table.remove_reader(rid, self._now())
             if not ended:
                 self._pull_on(pull)
 
@@ -185,7 +185,7 @@
             return
         self._tidy_at = now + TIDY_SECONDS
         with self._lock:
-            orphans = self._table.orphans(now)
+            orphans = self._table.orphaned_runs(now)
             gone = self._table.expire(now)
         for rid in orphans:
             self.cancel(rid)
@@ -210,7 +210,7 @@
         size = 0
         try:
             for chunk in resp.stream(PLAIN_CHUNK_BYTES):
-                if rid in self._cancelled or size > const.RUN_BYTES_MAX:
+                if rid in self._cancelled or size > const.MAX_RUN_BYTES:
                     break
                 buf.append(chunk)
                 size += len(chunk)
@@ -245,13 +245,13 @@
             resp.close()
         with self._lock:
             if self._table.get(rid) is not None:
-                self._table.grew(rid, size)
+                self._table.add_bytes(rid, size)
         self._finish(rid, buf, whole=whole)
 
     def _finish(self, rid: str, buf: buffer_lib.Buffer, *, whole: bool) -> None:
         buf.end(whole=whole)
         with self._lock:
-            self._table.finished(rid, self._now(), whole=whole)
+            self._table.finish(rid, self._now(), whole=whole)
 
 
 def _exhaust(pull: Iterator[bytes]) -> None:
--- a/jasperweir/components/agent/side.py
+++ b/jasperweir/components/agent/side.py
@@ -27,7 +27,7 @@
         self.up = False
         self.gate = orders_lib.Gate()
         self.prefixes: collections.deque[int] = collections.deque(
-            maxlen=run_const.CACHED_NAMED
+            maxlen=run_const.MAX_REPORTED_PREFIXES
         )
         self._has_events = True
         self._orders = orders
--- a/jasperweir/components/runs/__init__.py
+++ b/jasperweir/components/runs/__init__.py
@@ -1,1 +1,1 @@
-"""Runs: the agent's table of requests, the last guard against a second run."""
+"""Runs: the agent's table of runs, which prevents a second run of a request."""
--- a/jasperweir/daemons/agent.py
+++ b/jasperweir/daemons/agent.py
@@ -17,7 +17,7 @@
 from jasperweir.components.membership import messages as member_messages
 from jasperweir.components.orders import planner as orders_lib
 from jasperweir.components.runs import const as run_const
-from jasperweir.components.runs import table as table_lib
+from jasperweir.components.runs import run_table as run_table_lib
 from jasperweir.daemons import base
 from jasperweir.daemons import config
 from jasperweir.helpers import actors
@@ -45,7 +45,7 @@
         self.host = base.Host(cfg=cfg, clock=clock)
         self._service = target["service"]
         self._drain_s = values["limits"]["drain_s"]
-        self.table = table_lib.Table(
+        self.table = run_table_lib.RunTable(
             capacity={self._service: target["max_in_flight"]}
         )
         group = None
@@ -126,7 +126,7 @@
         if self._draining:
             return
         self._draining = True
-        self.table.leaving = True
+        self.table.draining = True
         self.host.log.info("leaving: no new work is taken")
         self.host.runner.call(
             lambda: self._perform(self.agent.announcer.announce_leaving())
@@ -240,14 +240,14 @@
         return web.json_resp(200, {"healthy": True})
 
     def _readyz(self, req: web.Req) -> web.Resp:
-        ready = self.table.ready and not self.table.leaving
+        ready = self.table.ready and not self.table.draining
         return web.json_resp(
             200 if ready else 503,
             {
                 "ready": ready,
                 "target_up": self.side.up,
                 "version": self.agent.replica.version,
-                "leaving": self.table.leaving,
+                "leaving": self.table.draining,
             },
         )
 
@@ -300,9 +300,9 @@
         reserved = req.query.get("reserved") == "1"
         verdict = self.executor.start(rid, service, reserved=reserved)
         match verdict:
-            case table_lib.Refused():
+            case run_table_lib.Refused():
                 return self._verdict(verdict)
-            case table_lib.Attach():
+            case run_table_lib.Attach():
                 return self._attach(rid, 0)
         call = executor_lib.Call(
             method=req.header(H_METHOD, "POST"),
@@ -337,7 +337,7 @@
         buf = self.executor.buffer(rid)
         state = self.executor.state(rid)
         if buf is None:
-            if state in (table_lib.State.DONE, table_lib.State.BROKEN):
+            if state in (run_table_lib.State.DONE, run_table_lib.State.BROKEN):
                 return self._small(410, "answer dropped")
             reason = state.value if state else "unknown"
             return self._small(404, reason)
@@ -359,12 +359,12 @@
         ]
         return web.Resp(200, headers, body)
 
-    def _verdict(self, verdict: table_lib.Verdict) -> web.Resp:
+    def _verdict(self, verdict: run_table_lib.Verdict) -> web.Resp:
         match verdict:
-            case table_lib.Refused():
+            case run_table_lib.Refused():
                 self.host.metrics.inc("runs_refused", reason=verdict.reason)
                 return self._small(409, verdict.reason)
-            case table_lib.Attach():
+            case run_table_lib.Attach():
                 return self._small(200, verdict.state.value)
         return self._small(200, "start")
 
--- a/script/guards.py
+++ b/script/guards.py
@@ -68,26 +68,26 @@
           "return True", "claims"),
     Guard("another body under a key", C + "claims/owner.py",
           "if known.digest != msg.record.digest:", "if False:", "claims"),
-    Guard("only a live reservation starts", C + "runs/table.py",
+    Guard("only a live reservation starts", C + "runs/run_table.py",
           "            if reserved:\n"
           "                return Refused(reason=const.REFUSED_RESERVATION)\n",
           "", "runs"),
-    Guard("a reservation ends", C + "runs/table.py",
+    Guard("a reservation ends", C + "runs/run_table.py",
           "if now >= run.expires_at:\n            self._revoke(run, now)\n"
           "            return Refused(reason=const.REFUSED_RESERVATION)\n",
           "if False:\n            pass\n", "runs"),
-    Guard("a revoked id never starts", C + "runs/table.py",
+    Guard("a revoked id never starts", C + "runs/run_table.py",
           "        if run.state == State.REVOKED:\n"
           "            return Refused(reason=const.REFUSED_REVOKED)\n",
           "        if run.state == State.REVOKED:\n"
           "            return Start()\n", "runs"),
-    Guard("a run id starts once", C + "runs/table.py",
+    Guard("a run id starts once", C + "runs/run_table.py",
           "        if run.state != State.RESERVED:\n"
-          "            return self._known(run)\n",
+          "            return self._existing_verdict(run)\n",
           "        if run.state != State.RESERVED:\n"
           "            return Start()\n", "runs"),
-    Guard("a leaving agent refuses", C + "runs/table.py",
-          "        if self.leaving:\n", "        if False:\n", "runs"),
+    Guard("a leaving agent refuses", C + "runs/run_table.py",
+          "        if self.draining:\n", "        if False:\n", "runs"),
     Guard("not run only if vouched for", C + "request/state_machine.py",
           "self._vouched = first or not keyed", "self._vouched = True",
           "request"),
