--- a/features/steps/parts_steps.py
+++ b/features/steps/parts_steps.py
@@ -16,9 +16,9 @@
 from jasperweir.components.burn import windows
 from jasperweir.components.control import client as control_client
 from jasperweir.components.control import messages as control_messages
+from jasperweir.components.entry import agent_client
 from jasperweir.components.entry import hedge
-from jasperweir.components.entry import hop
-from jasperweir.components.entry import job as job_lib
+from jasperweir.components.entry import parsed_request as request_lib
 from jasperweir.components.experts import popularity
 from jasperweir.components.orders import planner as orders
 from jasperweir.components.request import events
@@ -228,7 +228,7 @@
     text = body or b'{"model": "weir-assist", "messages": []}'
     names = {k.replace("_", "-"): v for k, v in headers.items()}
     req = web.Req(method, path, {}, names, text)
-    found = job_lib.parse(req, bundle())
+    found = request_lib.parse(req, bundle())
     return found.value_or(None) or found.failure()
 
 
@@ -252,7 +252,7 @@
     assert parse(path).code == Code.KEY_MISSING
     assert parse(path, method="GET").keyed is False
     keyed = parse(path, idempotency_key="k", jasperweir_attempt="1")
-    assert keyed.keyed and keyed.first and keyed.key.endswith("\x1fk")
+    assert keyed.keyed and keyed.is_first_try and keyed.key.endswith("\x1fk")
 
 
 def raced(first, second):
@@ -279,7 +279,7 @@
 
 
 def second_wins():
-    stream = hop.Stream(200, "", iter(()), lambda: None)
+    stream = agent_client.Stream(200, "", iter(()), lambda: None)
     found = raced(events.Broke(relayed=0), stream)
     assert found.second and found.result is stream
     found = hedge.race(lambda: stream, lambda: None, delay=10)
@@ -289,7 +289,7 @@
 def rejected_resend():
     def told(**headers):
         names = {k.replace("_", "-"): v for k, v in headers.items()}
-        return job_lib.vouched(web.Req("POST", "/", {}, names, b""))
+        return request_lib.vouched(web.Req("POST", "/", {}, names, b""))
 
     assert told()
     assert not told(idempotency_key="k")
--- a/jasperweir/components/entry/__init__.py
+++ b/jasperweir/components/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry's decisions: admission, routing, claims, membership."""
+"""Entry: admission, routing, claims and membership of one entry process."""
--- a/jasperweir/components/entry/hop.py
+++ b/jasperweir/components/entry/agent_client.py
@@ -1,4 +1,4 @@
-"""HTTP between an entry and an agent, turned into events of a request."""
+"""HTTP client for agents; results are events of a request."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -6,14 +6,14 @@
 
 import urllib3
 
-from jasperweir.components.entry import job as job_lib
+from jasperweir.components.entry import parsed_request as request_lib
 from jasperweir.components.request import events
 from jasperweir.components.runs import const as run_const
 
 CONNECT_SECONDS = 0.5
-SMALL_SECONDS = 2.0
-# Longer than a group stalls while a lost host comes back.
-STALL_SECONDS = 15.0
+CONTROL_CALL_SECONDS = 2.0
+# Longer than the stall of a group while a lost host restarts.
+STREAM_STALL_SECONDS = 15.0
 READ_CHUNK_BYTES = 64 * 1024
 HTTP_OK = 200
 HTTP_NOT_FOUND = 404
@@ -29,7 +29,7 @@
 
 
 class Target(NamedTuple):
-    """An agent in one incarnation."""
+    """An agent in one incarnation, with its HTTP address ``ip:port``."""
 
     name: str
     inc: int
@@ -37,7 +37,14 @@
 
 
 class Load(NamedTuple):
-    """A load report that came with an answer."""
+    """Load report in the headers of an answer.
+
+    Attributes:
+        active: Active requests at the target.
+        skew: Lag of the slowest rank as a share of a step.
+        switching: Whether an expert map switch is pending.
+        cached: Hashes of recently cached prompt prefixes.
+    """
 
     active: int
     skew: float
@@ -46,13 +53,13 @@
 
 
 class Stream(NamedTuple):
-    """An answer that has begun.
+    """An answer whose head was received.
 
     Attributes:
         status: HTTP status of the target's answer.
         content_type: Content type of the target's answer.
-        chunks: The body; raises HTTPError if it ends too early.
-        close: Close the connection without reading on.
+        chunks: Chunks of the body; raises HTTPError if it is incomplete.
+        close: Closes the connection without reading the rest.
     """
 
     status: int
@@ -64,10 +71,10 @@
 Result = events.Event | Stream
 
 
-class Hop:
-    """Client for the agents' HTTP interface.
+class AgentClient:
+    """Client for the HTTP interface of agents.
 
-    urllib3's own retries are off: one call here is one request sent.
+    Retries of urllib3 are disabled, so that each call sends one request.
     """
 
     def __init__(
@@ -82,28 +89,32 @@
         )
 
     def reserve(self, rid: str, service: str, target: Target) -> Result:
-        """Reserve a run id."""
-        return self._small(f"/runs/{rid}/reserve", service, target)
+        """Reserve a slot for a run id."""
+        return self._post_control(f"/runs/{rid}/reserve", service, target)
 
     def revoke(self, rid: str, service: str, target: Target) -> Result:
-        """Make sure that a run id never starts."""
-        return self._small(f"/runs/{rid}/revoke", service, target)
+        """Prevent a run id from ever starting."""
+        return self._post_control(f"/runs/{rid}/revoke", service, target)
 
     def run(
-        self, rid: str, job: job_lib.Job, target: Target, timeout: float
+        self,
+        rid: str,
+        request: request_lib.ParsedRequest,
+        target: Target,
+        timeout: float,
     ) -> Result:
-        """Send a request to be run."""
-        path = f"/runs/{rid}?service={job.spec.name}"
-        if job.keyed:
+        """Send a request to run it."""
+        path = f"/runs/{rid}?service={request.spec.name}"
+        if request.keyed:
             path += "&reserved=1"
         headers = {
-            "Content-Type": job.content_type,
-            "Jasperweir-Path": job.path,
-            "Jasperweir-Method": job.method,
-            "Jasperweir-Priority": str(job.priority),
-            "Jasperweir-Customer": job.customer.name,
+            "Content-Type": request.content_type,
+            "Jasperweir-Path": request.path,
+            "Jasperweir-Method": request.method,
+            "Jasperweir-Priority": str(request.priority),
+            "Jasperweir-Customer": request.customer.name,
         }
-        return self._open("POST", path, target, headers, job.body, timeout)
+        return self._open("POST", path, target, headers, request.body, timeout)
 
     def attach(
         self, rid: str, offset: int, target: Target, timeout: float
@@ -112,27 +123,27 @@
         path = f"/runs/{rid}?offset={offset}"
         return self._open("GET", path, target, {}, None, timeout)
 
-    def _small(self, path: str, service: str, target: Target) -> Result:
+    def _post_control(self, path: str, service: str, target: Target) -> Result:
         try:
             resp = self._http.request(
                 "POST",
                 f"http://{target.http}{path}?service={service}",
                 headers={run_const.H_INCARNATION: str(target.inc)},
                 timeout=urllib3.Timeout(
-                    connect=CONNECT_SECONDS, read=SMALL_SECONDS
+                    connect=CONNECT_SECONDS, read=CONTROL_CALL_SECONDS
                 ),
             )
         except _NOTHING_SENT:
             return events.Unsent()
         except urllib3.exceptions.HTTPError:
             return events.Broke(relayed=0)
-        self._note_load(target.name, resp)
+        self._report_load(target.name, resp)
         if resp.status == HTTP_OK:
             state = resp.headers.get(run_const.H_REASON, "")
             if state == "reserved":
                 return events.Reserved()
             return events.Exists()
-        return _refusal(resp)
+        return _failure_event(resp)
 
     def _open(
         self,
@@ -158,9 +169,9 @@
             return events.Unsent()
         except urllib3.exceptions.HTTPError:
             return events.Broke(relayed=0)
-        self._note_load(target.name, resp)
+        self._report_load(target.name, resp)
         if resp.status != HTTP_OK:
-            refusal = _refusal(resp)
+            refusal = _failure_event(resp)
             resp.drain_conn()
             resp.release_conn()
             return refusal
@@ -172,7 +183,7 @@
             close=resp.close,
         )
 
-    def _note_load(self, name: str, resp: urllib3.BaseHTTPResponse) -> None:
+    def _report_load(self, name: str, resp: urllib3.BaseHTTPResponse) -> None:
         parts = resp.headers.get(run_const.H_LOAD, "").split(";")
         try:
             active, skew, switching = parts
@@ -193,7 +204,7 @@
     resp.release_conn()
 
 
-def _refusal(resp: urllib3.BaseHTTPResponse) -> events.Event:
+def _failure_event(resp: urllib3.BaseHTTPResponse) -> events.Event:
     match resp.status:
         case status if status == HTTP_MISDIRECTED:
             return events.OtherIncarnation()
--- a/jasperweir/components/entry/const.py
+++ b/jasperweir/components/entry/const.py
@@ -1,7 +1,7 @@
 """Constants of the entry."""
 
-# An entry that is slow to hear of the leave may name this one a little longer.
+# Other entries may list a draining entry for this long after its leave.
 EXTRA_DRAIN_SECONDS = 3.0
-# The burn rate goes through all customers of the last minute.
-BURN_SECONDS = 2.0
-EXPORT_SECONDS = 1.0
+# Interval at which the burn rate is computed, since it covers all customers.
+BURN_RATE_INTERVAL_SECONDS = 2.0
+METRICS_INTERVAL_SECONDS = 1.0
--- a/jasperweir/components/entry/hedge.py
+++ b/jasperweir/components/entry/hedge.py
@@ -1,30 +1,35 @@
-"""Send a stream's request to a second target when the first is silent."""
+"""Hedging: a second attempt while the first has not answered."""
 
 from collections.abc import Callable
 import queue
 import threading
 from typing import NamedTuple
 
-from jasperweir.components.entry import hop as hop_lib
+from jasperweir.components.entry import agent_client as agent_client_lib
 from jasperweir.components.request import events
 
-# A second try leaves this share of the time to the first token unused, so
-# that it may still come in time.
-DELAY_SHARE = 0.6
+# Share of the objective for the first token after which a stream is hedged, so
+# that the second attempt can still be on time.
+HEDGE_DELAY_SHARE = 0.6
 
-# How often a request that is not streamed looks whether its target is gone.
-LOOK_SECONDS = 1.0
+# Interval at which a request that is not streamed checks its target.
+TARGET_CHECK_SECONDS = 1.0
 
 _NEVER_RAN = (events.Refused, events.Unsent, events.OtherIncarnation)
 
-Attempt = Callable[[], hop_lib.Result]
+Attempt = Callable[[], agent_client_lib.Result]
 
 
 class Outcome(NamedTuple):
-    """Which attempt won, and what it gave."""
+    """Result of the winning attempt.
+
+    Attributes:
+        second: Whether the second attempt won.
+        result: Result of the attempt.
+    """
 
     second: bool
-    result: hop_lib.Result
+    result: agent_client_lib.Result
 
 
 def race(
@@ -33,16 +38,16 @@
     *,
     delay: float,
 ) -> Outcome:
-    """Run an attempt, and another beside it if that is called for.
+    """Run an attempt, and a second one in parallel if it is needed.
 
-    Only for requests that may run more than once. The loser's connection is
-    closed whenever it answers; its agent then cancels the run.
+    Only for requests that may run more than once. The connection of the
+    losing attempt is closed when it answers; its agent then cancels the run.
 
     Args:
-        first: Blocks until the answer begins or fails.
+        first: Blocks until the answer starts or the attempt fails.
         second: Called after each delay without an answer; returns the
             other attempt, or None for now.
-        delay: Seconds to wait before the second attempt.
+        delay: Seconds between calls of ``second``.
     """
     results: queue.SimpleQueue[Outcome] = queue.SimpleQueue()
     _start(first, results, second=False)
@@ -54,15 +59,15 @@
             other = second()
     _start(other, results, second=True)
     one = results.get()
-    if isinstance(one.result, hop_lib.Stream):
+    if isinstance(one.result, agent_client_lib.Stream):
         threading.Thread(
             target=_close_loser, args=(results,), name="hedge", daemon=True
         ).start()
         return one
     two = results.get()
-    if isinstance(two.result, hop_lib.Stream):
+    if isinstance(two.result, agent_client_lib.Stream):
         return two
-    # If either try may have run, that is what must be told.
+    # A result of an attempt that may have run takes precedence.
     return two if isinstance(one.result, _NEVER_RAN) else one
 
 
@@ -80,5 +85,5 @@
 
 def _close_loser(results: "queue.SimpleQueue[Outcome]") -> None:
     loser = results.get().result
-    if isinstance(loser, hop_lib.Stream):
+    if isinstance(loser, agent_client_lib.Stream):
         loser.close()
--- a/jasperweir/components/entry/node.py
+++ b/jasperweir/components/entry/node.py
@@ -1,4 +1,4 @@
-"""Sans-I/O core of an entry; its driver performs sends and HTTP."""
+"""Sans-I/O core of an entry; the daemon performs sends and HTTP."""
 
 from collections.abc import Callable
 import random
@@ -33,7 +33,15 @@
 
 
 class Identity(NamedTuple):
-    """Who and where this process is."""
+    """Identity of this process.
+
+    Attributes:
+        name: Unique name of the node.
+        place: Data centre.
+        inc: Incarnation.
+        addr: Internal address, ``ip:port``.
+        http: HTTP address, ``ip:port``.
+    """
 
     name: str
     place: str
@@ -43,18 +51,18 @@
 
 
 class Entry:
-    """Everything that an entry decides, on one thread and a passed-in clock.
+    """Sans-I/O core of an entry, used on a single thread.
 
     Attributes:
         gossip: Records of all nodes.
-        replica: Configuration in force here.
-        router: Choice of targets.
+        replica: Configuration in force.
+        router: Target choice.
         claim_owner: Claims that this entry owns.
         claim_client: Claims that this entry requests.
-        control: Conversation with the control VMs.
+        control: Client of the control VMs.
         budget: Retry budget of all requests.
         burn: Counts for the service-level report.
-        ledger: Requests under which targets ended.
+        ledger: Requests under which engines crashed.
         rng: Seeded random source.
     """
 
@@ -77,7 +85,7 @@
             place=identity.place,
             inc=identity.inc,
             seq=0,
-            # Callers are sent here only once the configuration is in force.
+            # ALIVE, and thereby open to callers, only with a configuration.
             status=Status.JOINING,
             addr=identity.addr,
             http=identity.http,
@@ -98,13 +106,15 @@
         self.budget = retry.RetryBudget()
         self.burn = windows_lib.Windows()
         self.ledger = ledger_lib.Ledger()
-        self._spread = spread_lib.EntrySpread(ledger=self.ledger)
-        self._compare_at = 0.0
+        self._mark_replication = spread_lib.EntrySpread(ledger=self.ledger)
+        self._next_compare_at = 0.0
         self.draining = False
-        self._burn = 0.0
-        self._burned_at = float("-inf")
+        self._last_burn_rate = 0.0
+        self._burn_rate_at = float("-inf")
         self._admissions: dict[str, admission_lib.AdmissionQueue] = {}
-        self._waiting: dict[str, Callable[[admission_lib.Verdict], None]] = {}
+        self._admission_callbacks: dict[
+            str, Callable[[admission_lib.Verdict], None]
+        ] = {}
         self._limits_version = -1
 
     # Time and messages.
@@ -114,26 +124,26 @@
         return self.gossip.join() + self.control.ask_floor(now)
 
     def tick(self, now: float) -> Actions:
-        """Let time pass."""
+        """Run periodic work."""
         out = self.gossip.tick(now)
         out += self.control.ask_floor(now)
-        self._follow_config()
+        self._apply_config()
         out += self.claim_owner.on_view(self.replica.view(), now)
         out += self.claim_owner.tick(now)
         out += self.claim_client.tick(now)
-        if self.serving and self.gossip.roster.own.status == Status.JOINING:
+        if self.is_serving and self.gossip.roster.own.status == Status.JOINING:
             self.gossip.touch(status=Status.ALIVE)
-        out += self._beat(now)
-        out += self._compare(now)
-        self._follow_targets()
+        out += self._build_heartbeat(now)
+        out += self._compare_ledgers(now)
+        self._apply_targets()
         for admission in self._admissions.values():
-            self._tell(admission.poll(now))
-        return self._loop_back(out, now)
+            self._deliver_verdicts(admission.poll(now))
+        return self._deliver_local(out, now)
 
     def receive(self, src: str, src_inc: int, msg: Any, now: float) -> Actions:
         """Handle a message from another process."""
         out = self._receive(src, src_inc, msg, now)
-        return self._loop_back(out, now)
+        return self._deliver_local(out, now)
 
     def _receive(self, src: str, src_inc: int, msg: Any, now: float) -> Actions:
         match msg:
@@ -147,14 +157,14 @@
                 self.replica.floor = self.control.floor
                 return []
             case quarantine_messages.Marks() | quarantine_messages.Compare():
-                return list(self._spread.receive(src, msg, now))
+                return list(self._mark_replication.receive(src, msg, now))
             case claim_messages.ClaimReply():
                 return self.claim_client.receive(msg, now)
         if type(msg).__module__ == claim_messages.__name__:
             return self.claim_owner.receive(src, src_inc, msg, now)
         return self.gossip.receive(src, msg, now)
 
-    def _loop_back(self, out: Actions, now: float) -> Actions:
+    def _deliver_local(self, out: Actions, now: float) -> Actions:
         """Deliver messages to this node itself without a socket."""
         sends: Actions = []
         queue = list(out)
@@ -170,8 +180,8 @@
     # Requests.
 
     @property
-    def serving(self) -> bool:
-        """Whether requests may be taken."""
+    def is_serving(self) -> bool:
+        """Whether requests can be accepted."""
         return self.replica.ready
 
     def admit(
@@ -181,25 +191,25 @@
         done: Callable[[admission_lib.Verdict], None],
         now: float,
     ) -> None:
-        """Ask for admission; ``done`` is called once, now or later."""
+        """Request admission; ``done`` is called once, now or later."""
         admission = self._admission(service)
         verdict = admission.submit(ticket, now)
         if isinstance(verdict, admission_lib.Queued):
-            self._waiting[ticket.rid] = done
+            self._admission_callbacks[ticket.rid] = done
             return
         done(verdict)
 
-    def congested(self, service: str, now: float) -> None:
-        """Note that a target had no slot left."""
+    def record_congestion(self, service: str, now: float) -> None:
+        """Record that a target had no free slot."""
         self._admission(service).record_congestion(now)
 
     def release(self, service: str, rid: str, now: float) -> None:
         """End an admitted or queued request."""
         admission = self._admission(service)
-        if self._waiting.pop(rid, None) is not None:
+        if self._admission_callbacks.pop(rid, None) is not None:
             admission.cancel(rid)
             return
-        self._tell(admission.release(rid, now))
+        self._deliver_verdicts(admission.release(rid, now))
 
     def claim(
         self,
@@ -210,26 +220,26 @@
         deadline: float,
         now: float,
     ) -> Actions:
-        """Ask for a claim; ``done`` is called once, now or later."""
+        """Request a claim; ``done`` is called once, now or later."""
         out = self.claim_client.send_request(
             record=record, expect=expect, done=done, deadline=deadline, now=now
         )
-        return self._loop_back(out, now)
+        return self._deliver_local(out, now)
 
-    def note_end(
+    def record_crash(
         self,
         fingerprint: fingerprint_lib.Fingerprint,
         incarnation: ledger_lib.Incarnation,
         now: float,
     ) -> Actions:
-        """Note that an engine ended while it had a request; tell others."""
+        """Record that an engine crashed under a request; notify others."""
         marks = self.ledger.add(fingerprint, incarnation, now)
         return list(spread_lib.tell(marks, self._other_entries()))
 
-    def note_whole(
+    def record_complete_answer(
         self, fingerprint: fingerprint_lib.Fingerprint, now: float
     ) -> Actions:
-        """Note that a request was answered whole; tell others."""
+        """Record that a request was answered completely; notify others."""
         marks = self.ledger.absolve(fingerprint, now)
         return list(spread_lib.tell(marks, self._other_entries()))
 
@@ -238,8 +248,8 @@
     ) -> address_lib.Answer | None:
         """Return the address answer for a caller.
 
-        None without a configuration: nobody knows then for how long callers
-        may keep an answer, and an entry that stops waits just that long.
+        Returns None without a configuration, which defines the time to live:
+        a stopping entry must wait for as long as callers keep answers.
         """
         bundle = self.replica.bundle
         if bundle is None:
@@ -254,7 +264,7 @@
         )
 
     def drain(self) -> Actions:
-        """Leave the address answers and the claim view; keep serving."""
+        """Leave the address answers and the claim view, but keep serving."""
         if self.draining:
             return []
         self.draining = True
@@ -264,14 +274,14 @@
         """Return the number of admitted and queued requests."""
         return sum(a.active + a.waiting for a in self._admissions.values())
 
-    # Inner workings.
+    # Internal.
 
-    def _compare(self, now: float) -> Actions:
-        if now < self._compare_at:
+    def _compare_ledgers(self, now: float) -> Actions:
+        if now < self._next_compare_at:
             return []
-        self._compare_at = now + quarantine_const.COMPARE_SECONDS
+        self._next_compare_at = now + quarantine_const.COMPARE_SECONDS
         self.ledger.tick(now)
-        return list(self._spread.compare(self._other_entries()))
+        return list(self._mark_replication.compare(self._other_entries()))
 
     def _other_entries(self) -> list[str]:
         return [
@@ -280,7 +290,7 @@
             if member.status == Status.ALIVE and member.name != self.name
         ]
 
-    def _beat(self, now: float) -> Actions:
+    def _build_heartbeat(self, now: float) -> Actions:
         own = self.gossip.roster.own
         return self.control.beat(
             inc=own.inc,
@@ -292,10 +302,10 @@
         )
 
     def _burn_rate(self, now: float) -> float:
-        if now >= self._burned_at + const.BURN_SECONDS:
-            self._burned_at = now
-            self._burn = self.burn.burn(self._objectives(), now)
-        return self._burn
+        if now >= self._burn_rate_at + const.BURN_RATE_INTERVAL_SECONDS:
+            self._burn_rate_at = now
+            self._last_burn_rate = self.burn.burn(self._objectives(), now)
+        return self._last_burn_rate
 
     def _objectives(self) -> dict[str, float]:
         bundle = self.replica.bundle
@@ -303,7 +313,7 @@
             return {}
         return {s.name: s.objective for s in bundle.services.values()}
 
-    def _follow_config(self) -> None:
+    def _apply_config(self) -> None:
         if not self.replica.refresh():
             return
         bundle = self.replica.bundle
@@ -312,25 +322,25 @@
         self.claim_owner.window = bundle.callers.claim_window_s
         self._limits_version = -1
 
-    def _follow_targets(self) -> None:
+    def _apply_targets(self) -> None:
         version = self.gossip.roster.version
         if version == self._limits_version:
             return
         self._limits_version = version
         for service, admission in self._admissions.items():
-            admission.set_ceiling(self._limit(service))
+            admission.set_ceiling(self._admission_limit(service))
         self.router.remove_departed_targets()
 
     def _admission(self, service: str) -> admission_lib.AdmissionQueue:
         admission = self._admissions.get(service)
         if admission is None:
             admission = admission_lib.AdmissionQueue(
-                limit=self._limit(service), rng=self.rng
+                limit=self._admission_limit(service), rng=self.rng
             )
             self._admissions[service] = admission
         return admission
 
-    def _limit(self, service: str) -> int:
+    def _admission_limit(self, service: str) -> int:
         entries = [
             m
             for m in self.gossip.roster.members(member_const.KIND_ENTRY)
@@ -341,8 +351,8 @@
         share = admission_lib.entry_slot_limit(slots, serving)
         return max(1, min(share, self._max_streams))
 
-    def _tell(self, verdicts: list[admission_lib.Verdict]) -> None:
+    def _deliver_verdicts(self, verdicts: list[admission_lib.Verdict]) -> None:
         for verdict in verdicts:
-            done = self._waiting.pop(verdict.rid, None)
+            done = self._admission_callbacks.pop(verdict.rid, None)
             if done is not None:
                 done(verdict)
--- a/jasperweir/components/entry/job.py
+++ b/jasperweir/components/entry/parsed_request.py
@@ -1,4 +1,4 @@
-"""Parse and check one caller's request."""
+"""Parsing and validation of a caller's request."""
 
 import json
 import secrets
@@ -30,15 +30,25 @@
 SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
 
 
-class Job(NamedTuple):
+class ParsedRequest(NamedTuple):
     """A request that passed all checks.
 
     Attributes:
-        rid: Request id, also told to the caller.
-        keyed: Whether it runs at most once, under ``key``.
+        rid: Request id, also returned to the caller.
+        spec: Requested service.
+        query: Requirements on the target.
+        customer: Customer of the request.
+        priority: From 0, the most urgent, to 9.
+        key: Customer and idempotency key.
+        keyed: Whether the request has a key and runs at most once.
         first: Whether the caller says that this is its first try.
-        deadline_s: Seconds from arrival.
+        deadline_s: Seconds from arrival to the deadline.
         streamed: Whether the answer is a stream of events.
+        method: HTTP method.
+        path: HTTP path at the target.
+        content_type: Content type of the body.
+        body: Body of the request.
+        digest: Digest that differs for another request with the same key.
     """
 
     rid: str
@@ -48,7 +58,7 @@
     priority: int
     key: str
     keyed: bool
-    first: bool
+    is_first_try: bool
     deadline_s: float
     streamed: bool
     method: str
@@ -59,7 +69,7 @@
 
     @property
     def subject(self) -> fingerprint.Subject:
-        """What identifies the request, whatever its id and key."""
+        """Content of the request that is fingerprinted for quarantine."""
         return fingerprint.Subject(
             method=self.method.encode(),
             host=self.spec.name.encode(),
@@ -70,29 +80,31 @@
 
 
 class Rejected(NamedTuple):
-    """The request is wrong and has not been run."""
+    """An invalid request that has not been run."""
 
     code: Code
     detail: str
 
 
 def vouched(req: web.Req) -> bool:
-    """Tell whether "not run" would hold for all tries of a request.
+    """Return whether "not run" would hold for all tries of a request.
 
-    A resend may be refused for a reason that its first try did not meet.
+    A resent request may be rejected although its first try was run.
     """
     return not req.header(H_KEY) or req.header(H_ATTEMPT) == "1"
 
 
-def parse(req: web.Req, bundle: specs.Bundle) -> result.Result[Job, Rejected]:
-    """Check a request against the bundle in force."""
-    headers = _headers(req, bundle)
+def parse(
+    req: web.Req, bundle: specs.Bundle
+) -> result.Result[ParsedRequest, Rejected]:
+    """Parse a request and check it against the bundle in force."""
+    headers = _parse_headers(req, bundle)
     if isinstance(headers, Rejected):
         return result.Failure(headers)
     if req.path.startswith(PLAIN_PREFIX):
-        found = _plain(req, bundle, headers)
+        found = _parse_plain(req, bundle, headers)
     else:
-        found = _inference(req, bundle, headers)
+        found = _parse_inference(req, bundle, headers)
     if isinstance(found, Rejected):
         return result.Failure(found)
     return result.Success(found)
@@ -103,10 +115,10 @@
     deadline_s: float
     priority: int
     key: str
-    first: bool
+    is_first_try: bool
 
 
-def _headers(req: web.Req, bundle: specs.Bundle) -> _Headers | Rejected:
+def _parse_headers(req: web.Req, bundle: specs.Bundle) -> _Headers | Rejected:
     for name in (H_CUSTOMER, H_KEY, H_REQUEST_ID):
         value = req.header(name)
         if len(value) > MAX_HEADER_VALUE or not value.isprintable():
@@ -114,13 +126,13 @@
     customer = bundle.customer(req.header(H_CUSTOMER, DEFAULT_CUSTOMER))
     if customer is None:
         return Rejected(Code.UNKNOWN_CUSTOMER, "")
-    deadline = _number(req.header(H_DEADLINE), bundle.callers.deadline_s)
+    deadline = _parse_number(req.header(H_DEADLINE), bundle.callers.deadline_s)
     if deadline is None or not 0 < deadline <= 3600:
         return Rejected(Code.BAD_DEADLINE, req.header(H_DEADLINE)[:40])
-    priority = _number(req.header(H_PRIORITY), customer.priority)
+    priority = _parse_number(req.header(H_PRIORITY), customer.priority)
     if priority is None or not 0 <= priority <= 9:
         return Rejected(Code.BAD_HEADER, H_PRIORITY)
-    attempt = _number(req.header(H_ATTEMPT), 0)
+    attempt = _parse_number(req.header(H_ATTEMPT), 0)
     if attempt is None:
         return Rejected(Code.BAD_HEADER, H_ATTEMPT)
     return _Headers(
@@ -128,13 +140,13 @@
         deadline_s=deadline,
         priority=int(priority),
         key=req.header(H_KEY),
-        first=attempt == 1,
+        is_first_try=attempt == 1,
     )
 
 
-def _inference(
+def _parse_inference(
     req: web.Req, bundle: specs.Bundle, headers: _Headers
-) -> Job | Rejected:
+) -> ParsedRequest | Rejected:
     try:
         body: Any = json.loads(req.body)
         name = str(body["model"])
@@ -153,7 +165,7 @@
         adapter=adapter,
         prefix=router_lib.prefix_hash(prompt.encode()),
     )
-    return _job(
+    return _build_request(
         req,
         spec,
         query,
@@ -164,16 +176,16 @@
     )
 
 
-def _plain(
+def _parse_plain(
     req: web.Req, bundle: specs.Bundle, headers: _Headers
-) -> Job | Rejected:
+) -> ParsedRequest | Rejected:
     rest = req.path.removeprefix(PLAIN_PREFIX)
     name, _, path = rest.partition("/")
     spec = bundle.services.get(name)
     if spec is None or spec.kind != bundle_const.KIND_PLAIN:
         return Rejected(Code.UNKNOWN_SERVICE, name[:80])
     query = router_lib.TargetQuery(service=name)
-    return _job(
+    return _build_request(
         req,
         spec,
         query,
@@ -184,7 +196,7 @@
     )
 
 
-def _job(
+def _build_request(
     req: web.Req,
     spec: specs.ServiceSpec,
     query: router_lib.TargetQuery,
@@ -193,15 +205,15 @@
     path: str,
     streamed: bool,
     safe: bool,
-) -> Job | Rejected:
-    # A key asks for at most one run, whatever the service says; without one
-    # a service whose calls may not be repeated takes safe methods only.
+) -> ParsedRequest | Rejected:
+    # A key requires at most one run. Without a key, a service that is not
+    # idempotent accepts safe methods only.
     keyed = bool(headers.key)
     if not keyed and not spec.idempotent and not safe:
         return Rejected(Code.KEY_MISSING, spec.name)
     tag = f"{req.method} {path} {spec.name}:{query.adapter} {streamed}"
     digest = hashing.checksum(tag.encode() + b"\x00" + req.body)
-    return Job(
+    return ParsedRequest(
         rid=secrets.token_hex(8),
         spec=spec,
         query=query,
@@ -209,7 +221,7 @@
         priority=headers.priority,
         key=f"{headers.customer.name}\x1f{headers.key}",
         keyed=keyed,
-        first=headers.first,
+        is_first_try=headers.is_first_try,
         deadline_s=headers.deadline_s,
         streamed=streamed,
         method=req.method,
@@ -220,7 +232,7 @@
     )
 
 
-def _number(text: str, default: float) -> float | None:
+def _parse_number(text: str, default: float) -> float | None:
     if not text:
         return float(default)
     try:
--- a/jasperweir/daemons/entry.py
+++ b/jasperweir/daemons/entry.py
@@ -9,12 +9,12 @@
 from jasperweir import core
 from jasperweir import result_codes
 from jasperweir.components.burn import const as burn_const
+from jasperweir.components.entry import agent_client as agent_client_lib
 from jasperweir.components.entry import const
-from jasperweir.components.entry import driver as driver_lib
-from jasperweir.components.entry import hop as hop_lib
-from jasperweir.components.entry import job as job_lib
+from jasperweir.components.entry import driver_context as context_lib
 from jasperweir.components.entry import node as node_lib
-from jasperweir.components.entry import port as port_lib
+from jasperweir.components.entry import parsed_request as request_lib
+from jasperweir.components.entry import request_driver as driver_lib
 from jasperweir.daemons import base
 from jasperweir.daemons import config
 from jasperweir.helpers import actors
@@ -49,15 +49,17 @@
             max_streams=limits["max_streams"],
             rng=self.host.rng,
         )
-        hop = hop_lib.Hop(connections=cfg.threads, on_load=self._on_load)
-        self._port = port_lib.Port(
+        agent_client = agent_client_lib.AgentClient(
+            connections=cfg.threads, on_load=self._on_load
+        )
+        self._context = context_lib.DriverContext(
             entry=self.entry,
-            hop=hop,
+            agent_client=agent_client,
             call=self.host.runner.call,
             tell=lambda func: self.host.runner.tell(actors.Post(func=func)),
             perform=self._perform,
             now=self.host.now,
-            tally=self.host.metrics.inc,
+            increment=self.host.metrics.inc,
         )
         self._server = web.Server(
             address=cfg.http, threads=cfg.threads, routes=self._routes()
@@ -135,7 +137,7 @@
         self.host.incarnation = self.entry.gossip.roster.own.inc
         self.host.send_all(acts, self.entry.gossip.roster)
 
-    def _on_load(self, name: str, load: hop_lib.Load) -> None:
+    def _on_load(self, name: str, load: agent_client_lib.Load) -> None:
         now = self.host.now()
 
         def report() -> None:
@@ -148,12 +150,12 @@
             )
             self.entry.router.update_cached_prefixes(name, load.cached)
 
-        self._port.tell(report)
+        self._context.tell(report)
 
     def _export(self, now: float) -> None:
         if now < self._export_at:
             return
-        self._export_at = now + const.EXPORT_SECONDS
+        self._export_at = now + const.METRICS_INTERVAL_SECONDS
         metrics = self.host.metrics
         metrics.gauge("revision", self.entry.replica.table.revision)
         metrics.gauge("bundle_version", self.entry.replica.version)
@@ -173,8 +175,8 @@
             web.Route("GET", "/v1/addresses", self._addresses),
             web.Route("GET", "/v1/burn", self._burn),
             web.Route("GET", RUNS_PREFIX, self._resume),
-            web.Route("POST", job_lib.INFERENCE_PATH, self._request),
-            web.Route("*", job_lib.PLAIN_PREFIX, self._request),
+            web.Route("POST", request_lib.INFERENCE_PATH, self._request),
+            web.Route("*", request_lib.PLAIN_PREFIX, self._request),
         ]
 
     def _healthz(self, req: web.Req) -> web.Resp:
@@ -182,7 +184,7 @@
 
     def _readyz(self, req: web.Req) -> web.Resp:
         entry = self.entry
-        ready = entry.serving and not entry.draining
+        ready = entry.is_serving and not entry.draining
         age = self.host.now() - entry.control.heard_at
         return web.json_resp(
             200 if ready else 503,
@@ -244,20 +246,24 @@
 
     def _request(self, req: web.Req) -> web.Resp:
         bundle = self.entry.replica.bundle
-        if not self.entry.serving or bundle is None:
+        if not self.entry.is_serving or bundle is None:
             return web.code_resp(
-                Code.NOT_READY, retry_after=1.0, vouched=job_lib.vouched(req)
+                Code.NOT_READY,
+                retry_after=1.0,
+                vouched=request_lib.vouched(req),
             )
-        match job_lib.parse(req, bundle):
-            case result.Success(job):
-                return driver_lib.Driver(port=self._port, job=job).serve()
+        match request_lib.parse(req, bundle):
+            case result.Success(request):
+                return driver_lib.RequestDriver(
+                    context=self._context, request=request
+                ).serve()
             case result.Failure(rejected):
                 code = str(int(rejected.code))
                 self.host.metrics.inc("requests", service="", code=code)
                 return web.code_resp(
                     rejected.code,
                     rejected.detail,
-                    vouched=job_lib.vouched(req),
+                    vouched=request_lib.vouched(req),
                 )
         raise AssertionError("a result is a success or a failure")
 
@@ -271,9 +277,11 @@
         member = self.entry.gossip.roster.get(name)
         if member is None:
             return web.code_resp(Code.NO_SUCH_RUN, name)
-        target = hop_lib.Target(name, int(inc), member.http)
-        result = self._port.hop.attach(rid, int(offset), target, 60.0)
-        if not isinstance(result, hop_lib.Stream):
+        target = agent_client_lib.Target(name, int(inc), member.http)
+        result = self._context.agent_client.attach(
+            rid, int(offset), target, 60.0
+        )
+        if not isinstance(result, agent_client_lib.Stream):
             return web.code_resp(Code.NO_SUCH_RUN, type(result).__name__)
         headers = [
             (web.CODE_HEADER, str(int(Code.OK))),
