--- a/jasperweir/components/discovery/client.py
+++ b/jasperweir/components/discovery/client.py
@@ -145,15 +145,15 @@
 
         While no control VM is reachable, the last list stays in use.
         """
-        fresh = self._reachable_controls(now)
-        if fresh:
-            found: dict[str, records.Node] = {}
-            for control in fresh:
-                found.update(control.nodes)
-            found.pop(self.node.name, None)
+        reachable = self._reachable_controls(now)
+        if reachable:
+            entries: dict[str, records.Node] = {}
+            for control in reachable:
+                entries.update(control.nodes)
+            entries.pop(self.node.name, None)
             if self.node.open:
-                found[self.node.name] = self.node
-            self._open_entries = tuple(found.values())
+                entries[self.node.name] = self.node
+            self._open_entries = tuple(entries.values())
         return self._open_entries
 
     def reachable_controls(self, now: float) -> list[str]:
--- a/jasperweir/components/entry/agent_client.py
+++ b/jasperweir/components/entry/agent_client.py
@@ -215,6 +215,6 @@
             return events.Unknown()
         case status if status in (HTTP_GONE, HTTP_BAD_GATEWAY):
             text = resp.headers.get(run_const.H_ENGINE_END, "")
-            end = int(text) if text.isdigit() else 0
-            return events.Broke(relayed=0, ended=True, engine_end=end)
+            crash_number = int(text) if text.isdigit() else 0
+            return events.Broke(relayed=0, ended=True, engine_end=crash_number)
     return events.Broke(relayed=0)
--- a/jasperweir/components/entry/dispatcher.py
+++ b/jasperweir/components/entry/dispatcher.py
@@ -139,12 +139,12 @@
         router = self._context.entry.router
         now = self._context.now()
 
-        def leave() -> None:
+        def release() -> None:
             router.record_end(loser.name, now)
             if won:
                 router.record_failure(first.name, now)
 
-        self._context.tell(leave)
+        self._context.tell(release)
         if won:
             self.target = second
             self._sent_at += self._hedge_delay()
@@ -158,14 +158,16 @@
         self.target = None
         router = self._context.entry.router
         now = self._context.now()
-        first = self._timing.first_chunk_at
+        first_chunk_at = self._timing.first_chunk_at
 
-        def leave() -> None:
+        def release() -> None:
             router.record_end(target.name, now)
-            if first is not None:
-                router.record_success(target.name, first - self._sent_at, now)
+            if first_chunk_at is not None:
+                router.record_success(
+                    target.name, first_chunk_at - self._sent_at, now
+                )
 
-        self._context.tell(leave)
+        self._context.tell(release)
 
 
 def _picked(target: agent_client_lib.Target) -> events.Picked:
--- a/jasperweir/components/entry/hedge.py
+++ b/jasperweir/components/entry/hedge.py
@@ -58,17 +58,17 @@
         except queue.Empty:
             other = second()
     _start(other, results, second=True)
-    one = results.get()
-    if isinstance(one.result, agent_client_lib.Stream):
+    earlier = results.get()
+    if isinstance(earlier.result, agent_client_lib.Stream):
         threading.Thread(
             target=_close_loser, args=(results,), name="hedge", daemon=True
         ).start()
-        return one
-    two = results.get()
-    if isinstance(two.result, agent_client_lib.Stream):
-        return two
+        return earlier
+    later = results.get()
+    if isinstance(later.result, agent_client_lib.Stream):
+        return later
     # A result of an attempt that may have run takes precedence.
-    return two if isinstance(one.result, _NEVER_RAN) else one
+    return later if isinstance(earlier.result, _NEVER_RAN) else earlier
 
 
 def _start(
--- a/jasperweir/components/entry/request_driver.py
+++ b/jasperweir/components/entry/request_driver.py
@@ -78,7 +78,7 @@
                 case actions.Relay() if self._request.streamed:
                     return self._stream_response()
                 case actions.Relay():
-                    action = self._state_machine.handle(self._read_whole())
+                    action = self._state_machine.handle(self._read_answer())
                 case actions.Finish():
                     return self._complete_response()
                 case actions.Replay():
@@ -198,10 +198,10 @@
             )
         )
         done.wait(timeout_s + 1.0)
-        blind = claim_messages.ClaimReply(
+        blind_reply = claim_messages.ClaimReply(
             epoch=0, ask_id="", verdict=claim_const.BLIND, record=None
         )
-        reply = replies[0] if replies else blind
+        reply = replies[0] if replies else blind_reply
         self._context.increment("claims", verdict=reply.verdict)
         if reply.verdict != claim_const.GRANTED:
             self._release_reservation(action.rid, self._dispatcher.target)
@@ -264,7 +264,7 @@
 
     # The answer.
 
-    def _read_whole(self) -> events.Event:
+    def _read_answer(self) -> events.Event:
         """Read a complete answer that is not streamed."""
         assert self._stream is not None
         self._stored_chunks = []
@@ -338,8 +338,8 @@
         except GeneratorExit:
             stream.close()
             raise
-        whole = stream.status != 200 or b"[DONE]" in self._stream_tail
-        if whole:
+        is_complete = stream.status != 200 or b"[DONE]" in self._stream_tail
+        if is_complete:
             self._relay_end = events.Whole()
         else:
             self._relay_end = events.Broke(
@@ -401,7 +401,7 @@
         request = self._request
         now = self._context.now()
         verdict = self._timing.verdict(code, streamed=request.streamed)
-        finish = self._finished_record() if code == Code.OK else None
+        finished_record = self._finished_record() if code == Code.OK else None
         if code == Code.OK:
             self._quarantine.record_complete_answer()
 
@@ -410,11 +410,11 @@
             entry.burn.add(
                 request.spec.name, request.customer.name, verdict, now
             )
-            if finish is not None:
+            if finished_record is not None:
                 self._context.perform(
                     entry.claim(
-                        record=finish,
-                        expect=finish.version,
+                        record=finished_record,
+                        expect=finished_record.version,
                         done=lambda reply: None,
                         deadline=now + const.CLAIM_TIMEOUT_SECONDS,
                         now=now,
--- a/jasperweir/components/limits/admission.py
+++ b/jasperweir/components/limits/admission.py
@@ -153,9 +153,9 @@
             self._active_by_customer[customer] -= 1
             if not self._active_by_customer[customer]:
                 del self._active_by_customer[customer]
-            step = const.SERVICE_TIME_SMOOTHING * (now - started)
-            keep = 1 - const.SERVICE_TIME_SMOOTHING
-            self._mean_service_s = keep * self._mean_service_s + step
+            new_part = const.SERVICE_TIME_SMOOTHING * (now - started)
+            old_weight = 1 - const.SERVICE_TIME_SMOOTHING
+            self._mean_service_s = old_weight * self._mean_service_s + new_part
         return self.poll(now)
 
     def cancel(self, rid: str) -> None:
--- a/jasperweir/components/membership/__init__.py
+++ b/jasperweir/components/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: records of all nodes, failure detection and gossip."""
+"""Membership: records of all nodes, failure detection and gossip."""
--- a/jasperweir/components/membership/gossip.py
+++ b/jasperweir/components/membership/gossip.py
@@ -138,8 +138,8 @@
             out += self._send_delta(src, msg.revision)
         follows_gossip = self.roster.own.kind != const.KIND_CONTROL
         if follows_gossip and msg.revision > self.table.revision:
-            want = messages.WantConfig(revision=self.table.revision)
-            out.append(core.Send(dst=src, msg=want))
+            request = messages.WantConfig(revision=self.table.revision)
+            out.append(core.Send(dst=src, msg=request))
         if msg.root != self.roster.root_digest():
             reply = messages.Buckets(
                 revision=self.table.revision,
@@ -149,10 +149,12 @@
         return out
 
     def _on_buckets(self, src: str, msg: messages.Buckets) -> Actions:
-        mine = self.roster.bucket_digests()
+        own_digests = self.roster.bucket_digests()
         differing = tuple(
             index
-            for index, (a, b) in enumerate(zip(mine, msg.hashes, strict=False))
+            for index, (a, b) in enumerate(
+                zip(own_digests, msg.hashes, strict=False)
+            )
             if a != b
         )
         if not differing:
@@ -165,10 +167,10 @@
     def _on_stamps(self, src: str, msg: messages.Stamps) -> Actions:
         out: Actions = _build_records(src, self.roster.missing_records(msg))
         if self.roster.is_behind(msg):
-            mine = messages.Stamps(
+            own_stamps = messages.Stamps(
                 buckets=msg.buckets, stamps=self.roster.stamps(msg.buckets)
             )
-            out.append(core.Send(dst=src, msg=mine))
+            out.append(core.Send(dst=src, msg=own_stamps))
         return out
 
     def _on_join(self, src: str, msg: messages.Join, now: float) -> Actions:
@@ -180,8 +182,8 @@
             # Control VMs get configuration from the replicated log only.
             return []
         if msg.since > self.table.revision:
-            want = messages.WantConfig(revision=self.table.revision)
-            return [core.Send(dst=src, msg=want)]
+            request = messages.WantConfig(revision=self.table.revision)
+            return [core.Send(dst=src, msg=request)]
         self.table.apply(msg)
         return []
 
@@ -255,7 +257,7 @@
         group = self._group_peers(member)
         # The lists rarely change and are most of the size of the answer.
         lists = hashing.checksum(codec.pack((watchers, group)))
-        same = lists == held_lists
+        unchanged = lists == held_lists
         delta = None
         if revision < self.table.revision:
             delta = self.table.delta(revision)
@@ -265,8 +267,8 @@
             seen_seq=member.seq if member else 0,
             status=member.status if member else Status.ALIVE,
             lists=lists,
-            watchers=() if same else watchers,
-            group=() if same else group,
+            watchers=() if unchanged else watchers,
+            group=() if unchanged else group,
             delta=delta,
         )
         return core.Send(dst=src, msg=ack)
--- a/jasperweir/components/membership/roster.py
+++ b/jasperweir/components/membership/roster.py
@@ -118,24 +118,27 @@
         self, stamps: messages.Stamps
     ) -> tuple[messages.Member, ...]:
         """Return records that the sender of the stamps lacks."""
-        theirs = {s.name: (s.inc, s.seq, s.status) for s in stamps.stamps}
+        sender_versions = {
+            s.name: (s.inc, s.seq, s.status) for s in stamps.stamps
+        }
         wanted = set(stamps.buckets)
         return tuple(
             m
             for m in self._members.values()
             if _bucket_index(m.name) in wanted
-            and (m.inc, m.seq, m.status) > theirs.get(m.name, (-1, 0, 0))
+            and (m.inc, m.seq, m.status)
+            > sender_versions.get(m.name, (-1, 0, 0))
         )
 
     def is_behind(self, stamps: messages.Stamps) -> bool:
         """Return whether the sender of the stamps has newer records."""
         for s in stamps.stamps:
-            mine = self._members.get(s.name)
-            if mine is None and s.status >= Status.DEAD:
+            own = self._members.get(s.name)
+            if own is None and s.status >= Status.DEAD:
                 continue
-            if mine is None:
+            if own is None:
                 return True
-            if (s.inc, s.seq, s.status) > (mine.inc, mine.seq, mine.status):
+            if (s.inc, s.seq, s.status) > (own.inc, own.seq, own.status):
                 return True
         return False
 
--- a/jasperweir/components/routing/router.py
+++ b/jasperweir/components/routing/router.py
@@ -80,9 +80,9 @@
             )
             self._states[name] = state
         elif state.inc != inc:
-            kept = state.in_flight
+            in_flight = state.in_flight
             state = state_lib.TargetState(inc=inc, ramp_started_at=now)
-            state.in_flight = kept
+            state.in_flight = in_flight
             self._states[name] = state
         return state
 
@@ -238,21 +238,21 @@
     def _exclude_ejected(
         self, pool: list[Candidate], now: float
     ) -> list[Candidate]:
-        kept = [
+        available = [
             c
             for c in pool
             if self.target_state(c.member.name, now).ejected_until <= now
         ]
-        floor = len(pool) - int(len(pool) * const.MAX_EJECTED_SHARE)
-        if len(kept) >= floor:
-            return kept
+        min_count = len(pool) - int(len(pool) * const.MAX_EJECTED_SHARE)
+        if len(available) >= min_count:
+            return available
         # A common fault must not eject too many targets; those whose
         # ejection ends first are used again.
-        out = sorted(
-            (c for c in pool if c not in kept),
+        ejected = sorted(
+            (c for c in pool if c not in available),
             key=lambda c: self.target_state(c.member.name, now).ejected_until,
         )
-        return kept + out[: floor - len(kept)]
+        return available + ejected[: min_count - len(available)]
 
     def _exclude_refusing(
         self, pool: list[Candidate], now: float
@@ -261,14 +261,14 @@
 
         A target that refuses at once has no load and would be chosen next.
         """
-        kept = [
+        accepting = [
             c
             for c in pool
             if not self.target_state(c.member.name, now).refusals.is_avoided(
                 now
             )
         ]
-        return kept or pool
+        return accepting or pool
 
     # Scores.
 
--- a/jasperweir/components/routing/state.py
+++ b/jasperweir/components/routing/state.py
@@ -63,8 +63,8 @@
         """
         age = max(now - self.reported_at, 0.0)
         weight = math.exp(-age / const.REPORT_DECAY_SECONDS)
-        rest = weight * self.other_requests() + (1 - weight) * typical_others
-        return self.in_flight + rest
+        others = weight * self.other_requests() + (1 - weight) * typical_others
+        return self.in_flight + others
 
     def capacity_share(self, now: float) -> float:
         """Return the share of capacity that may be used in slow start."""
--- a/script/guards.py
+++ b/script/guards.py
@@ -164,7 +164,7 @@
           "            self._restart_silence(now)\n", "            pass\n",
           "membership"),
     Guard("ejection leaves a floor", C + "routing/router.py",
-          "if len(kept) >= floor:", "if True:", "routing"),
+          "if len(available) >= min_count:", "if True:", "routing"),
     Guard("an expired ticket is refused at once", C + "limits/admission.py",
           "                if now + request.min_service_s <= "
           "request.deadline:\n"
