--- a/features/harness/matrix.py
+++ b/features/harness/matrix.py
@@ -73,7 +73,7 @@
         for _, src, dst, msg in due:
             if hasattr(scene, "requeue"):
                 scene.requeue(src, dst, msg)
-            elif isinstance(scene, claims.Owners):
+            elif isinstance(scene, claims.ClaimCluster):
                 scene.queue.append((src, scene.inc[src], dst, msg))
             else:
                 scene.queue.append((src, dst, msg))
@@ -173,7 +173,7 @@
 
 def claims_cell(tap: Tap) -> None:
     """Claims, a lost owner, repair and resends under one fault."""
-    own = claims.Owners([f"e{i}" for i in range(1, 6)])
+    own = claims.ClaimCluster([f"e{i}" for i in range(1, 6)])
     own.tap = tap
     for i in range(6):
         claim(own, f"k{i}", f"r{i}")
@@ -187,7 +187,7 @@
     run(own, 3)
     heal(own)
     for name in [f"e{i}" for i in range(1, 6)]:
-        if name not in own.keepers:
+        if name not in own.claim_owners:
             own.start(name)
     own.change_view()
     run(own, 8)
@@ -198,7 +198,7 @@
 
 
 def claim(own, key: str, rid: str) -> None:
-    alive = sorted(set(own.keepers) - own.frozen)
+    alive = sorted(set(own.claim_owners) - own.frozen)
     own.claim(alive[len(rid) % len(alive)], key, rid)
 
 
@@ -230,7 +230,7 @@
 
 def membership_cell(tap: Tap) -> None:
     """Joins, a death, a leave and a restart under one fault."""
-    scene = nodes.Nodes(4, 4)
+    scene = nodes.NodeCluster(4, 4)
     table = scene.nodes["e1"].table
     table.log_id = "log"
     table.put("x", b"1", 1)
@@ -244,7 +244,7 @@
     scene.apart = set()
     run(scene, 3)
     if "a1" not in scene.down:
-        scene.post("a1", scene.nodes["a1"].leave())
+        scene.post("a1", scene.nodes["a1"].announce_leaving())
     scene.down.add("a2")
     run(scene, 8)
     # The fault may strike as late as in the recovery itself.
@@ -286,7 +286,7 @@
     run(scene, 1.0)
     if "e1" in scene.followers:
         known = site.target("t9", "10.0.0.9:80")
-        gone = scene.followers["e1"].retire(known, scene.now)
+        gone = scene.followers["e1"].announce_target_gone(known, scene.now)
         scene.perform("e1", gone)
     run(scene, 1.0)
     # The fault may strike as late as in the recovery itself.
--- /dev/null
+++ b/jasperweir/components/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""Discovery: what entries and agents learn from the control VMs."""
--- /dev/null
+++ b/jasperweir/components/discovery/client.py
@@ -0,0 +1,419 @@
+"""Sans-I/O discovery of configuration, targets, entries and the leader."""
+
+import dataclasses
+from typing import Any
+from typing import NamedTuple
+
+from jasperweir import core
+from jasperweir.components.configctl import messages
+from jasperweir.components.directory import const as directory_const
+from jasperweir.components.directory import directory as directory_lib
+from jasperweir.components.directory import incarnation
+from jasperweir.components.directory import records
+
+Actions = list[Any]
+
+# Delay before a version that only another data centre has announced is
+# fetched from there, since traffic between data centres costs money.
+REMOTE_PULL_DELAY_SECONDS = 0.25
+# Interval at which an unanswered request for content is repeated.
+PULL_RETRY_SECONDS = 0.4
+# Interval at which missing content is checked for a source to ask.
+PULL_CHECK_SECONDS = 0.1
+# A heartbeat is sent on a tick that comes this much too early.
+_TICK_TOLERANCE_SECONDS = 0.005
+# Heartbeat interval of a process without a current configuration.
+STARTUP_HEARTBEAT_SECONDS = 0.1
+# Heartbeat interval to a control VM that does not answer, whatever the usual
+# interval: a leader must know all agents before it can plan.
+UNREACHABLE_HEARTBEAT_SECONDS = 0.25
+# Heartbeat interval to control VMs of other data centres. It is a multiple of
+# the interval within the data centre, so that both are sent on one tick; a
+# late heartbeat still arrives before the node counts as silent.
+REMOTE_HEARTBEAT_SECONDS = 2 * directory_const.NODE_BEAT_SECONDS
+# Silence after which a control VM counts as unreachable.
+CONTROL_TIMEOUT_SECONDS = 1.5
+# Validity of the leader's confirmation of the newest version; a version that
+# is committed later reaches this node within that time.
+CONFIRMATION_VALID_SECONDS = 1.0
+# Time after which a process that reaches a single control VM may be ready.
+SINGLE_CONTROL_READY_SECONDS = 1.0
+
+
+class ApplyConfiguration(NamedTuple):
+    """Action: put a higher configuration version into force."""
+
+    version: int
+    data: bytes
+
+
+@dataclasses.dataclass(kw_only=True, slots=True)
+class Control:
+    """State of one control VM as this node sees it.
+
+    Attributes:
+        heartbeat: Last heartbeat of the control VM, or None before the first.
+        heard_at: Time of its last message, monotonic seconds.
+        heartbeat_sent_at: Time of the last heartbeat sent to it.
+        targets_digest: Digest of its target list as received here.
+        nodes_digest: Digest of its list of entries as received here.
+        controls_digest: Digest of its list of control VMs as received here.
+        nodes: Open entries that it has listed, by name.
+    """
+
+    heartbeat: records.ControlBeat | None = None
+    heard_at: float = float("-inf")
+    heartbeat_sent_at: float = float("-inf")
+    targets_digest: int = 0
+    nodes_digest: int = 0
+    controls_digest: int = 0
+    nodes: dict[str, records.Node] = dataclasses.field(default_factory=dict)
+
+    @property
+    def keeps_log(self) -> bool:
+        """Whether it stores the log; assumed until its first heartbeat."""
+        return self.heartbeat is None or self.heartbeat.keeps_log
+
+
+class DiscoveryClient:
+    """Discovery client of an entry or agent.
+
+    It sends heartbeats to the control VMs and receives configuration versions
+    and changes of targets, entries and the leader from them.
+
+    Attributes:
+        node: Own record, as announced to the control VMs.
+        directory: Known targets.
+        version: Configuration version in force, 0 before the first.
+    """
+
+    def __init__(
+        self,
+        *,
+        node: records.Node,
+        seeds: tuple[str, ...],
+        now: float,
+        heartbeat_s: float = directory_const.NODE_BEAT_SECONDS,
+        wants_content: bool = True,
+    ) -> None:
+        self.node = node
+        self.directory = directory_lib.Directory()
+        self.version = 0
+        self._controls = {seed: Control() for seed in seeds}
+        self._seed_count = len(seeds)
+        self._wants_content = wants_content
+        self._heartbeat_s = heartbeat_s
+        self._announced_versions: dict[str, int] = {}
+        self._newest_announced_at = 0.0
+        self._last_pull_at = float("-inf")
+        self._pull_count = 0
+        self._started_at = now
+        self._ready_confirmed = False
+        self._open_entries: tuple[records.Node, ...] = ()
+
+    # State.
+
+    def is_ready(self, now: float) -> bool:
+        """Return whether the configuration in force is known to be current."""
+        if self._ready_confirmed:
+            return True
+        if not self.version or self.version < max(
+            self._announced_versions.values(), default=0
+        ):
+            return False
+        reachable = len(self._reachable_controls(now))
+        waited = now - self._started_at > SINGLE_CONTROL_READY_SECONDS
+        enough = reachable >= min(2, self._seed_count)
+        self._ready_confirmed = enough or (reachable > 0 and waited)
+        return self._ready_confirmed
+
+    def is_version_confirmed(self, now: float) -> bool:
+        """Return whether the leader recently confirmed the version in force.
+
+        Without it, a route or key that is unknown here may exist.
+        """
+        return any(
+            control.heartbeat is not None
+            and control.heartbeat.certain
+            and control.heartbeat.version <= self.version
+            and now - control.heard_at < CONFIRMATION_VALID_SECONDS
+            for control in self._controls.values()
+        )
+
+    def open_entries(self, now: float) -> tuple[records.Node, ...]:
+        """Return the open entries that any reachable control VM lists.
+
+        While no control VM is reachable, the last list stays in use.
+        """
+        reachable = self._reachable_controls(now)
+        if reachable:
+            entries: dict[str, records.Node] = {}
+            for control in reachable:
+                entries.update(control.nodes)
+            entries.pop(self.node.name, None)
+            if self.node.open:
+                entries[self.node.name] = self.node
+            self._open_entries = tuple(entries.values())
+        return self._open_entries
+
+    def reachable_controls(self, now: float) -> list[str]:
+        """Return the reachable control VMs that get heartbeats."""
+        return [
+            name
+            for name, control in self._heartbeat_controls(now)
+            if now - control.heard_at < CONTROL_TIMEOUT_SECONDS
+        ]
+
+    def leader(self, now: float) -> tuple[str, int]:
+        """Return the leader of the highest known term, and that term."""
+        best = ("", 0)
+        for control in self._reachable_controls(now):
+            heartbeat = control.heartbeat
+            if (
+                heartbeat is not None
+                and heartbeat.leader
+                and heartbeat.term > best[1]
+            ):
+                best = (heartbeat.leader, heartbeat.term)
+        return best
+
+    # Inputs.
+
+    def set_open(self, *, is_open: bool, now: float) -> Actions:
+        """Open or close this node for callers and announce the change."""
+        if is_open == self.node.open:
+            return []
+        self.node = self.node._replace(
+            open=is_open, sequence=self.node.sequence + 1
+        )
+        return [
+            self._build_heartbeat(name, control, now)
+            for name, control in self._heartbeat_controls(now)
+        ]
+
+    def announce_target_gone(
+        self, target: records.Target, now: float
+    ) -> Actions:
+        """Mark an incarnation as gone from its address and announce it."""
+        held = self.directory.leave(target.target_id, now, target.born)
+        if held.presence is not records.Presence.GONE:
+            # A later incarnation has started at the address.
+            return []
+        return self._send_to_controls(records.News(target=held), now)
+
+    def announce_target_leaving(
+        self, target: records.Target, now: float
+    ) -> Actions:
+        """Mark a target as leaving, as its answers state, and announce it."""
+        leaving = target._replace(presence=records.Presence.LEAVING)
+        if not self.directory.merge(leaving, now):
+            return []
+        return self._send_to_controls(records.News(target=leaving), now)
+
+    def _send_to_controls(self, news: records.News, now: float) -> Actions:
+        return [
+            core.Send(dst=name, msg=news)
+            for name, _ in self._heartbeat_controls(now)
+        ]
+
+    def tick(self, now: float) -> Actions:
+        """Run periodic work: expiry, content requests and heartbeats."""
+        self.directory.tick(now)
+        out = self._pull(now)
+        starting = self._wants_content and not self.is_ready(now)
+        for name, control in self._heartbeat_controls(now):
+            interval_s = (
+                STARTUP_HEARTBEAT_SECONDS
+                if starting
+                else self._heartbeat_interval_s(name, control, now)
+            )
+            if (
+                now
+                >= control.heartbeat_sent_at
+                + interval_s
+                - _TICK_TOLERANCE_SECONDS
+            ):
+                out.append(self._build_heartbeat(name, control, now))
+        return out
+
+    def next_tick(self, now: float) -> float:
+        """Return when ``tick`` is due next, in monotonic seconds."""
+        if self._wants_content and not self.is_ready(now):
+            return now + STARTUP_HEARTBEAT_SECONDS
+        due = [
+            control.heartbeat_sent_at
+            + self._heartbeat_interval_s(name, control, now)
+            for name, control in self._heartbeat_controls(now)
+        ]
+        if self._controls_ahead():
+            due.append(now + PULL_CHECK_SECONDS)
+        return min(due, default=now + UNREACHABLE_HEARTBEAT_SECONDS)
+
+    def receive(self, src: str, msg: Any, now: float) -> Actions:
+        """Handle a message from a control VM."""
+        match msg:
+            case records.ControlBeat():
+                return self._on_heartbeat(src, msg, now)
+            case records.Targets():
+                return self._on_targets(src, msg, now)
+            case records.News():
+                self.directory.merge(msg.target, now)
+                control = self._mark_heard(src, now)
+                if msg.before and control.targets_digest == msg.before:
+                    control.targets_digest = msg.after
+            case records.Nodes():
+                control = self._mark_heard(src, now)
+                control.nodes = {node.name: node for node in msg.nodes}
+                control.nodes_digest = msg.digest
+            case records.NodeNews():
+                self._on_node_changes(self._mark_heard(src, now), msg)
+            case messages.VersionNews():
+                self._record_announced_version(src, msg.version, now)
+                return self._pull(now)
+            case messages.Content():
+                if msg.version > self.version:
+                    self.version = msg.version
+                    return [
+                        ApplyConfiguration(version=msg.version, data=msg.data)
+                    ]
+        return []
+
+    def _mark_heard(self, src: str, now: float) -> Control:
+        control = self._controls.setdefault(src, Control())
+        control.heard_at = now
+        return control
+
+    def _reachable_controls(self, now: float) -> list[Control]:
+        return [
+            control
+            for control in self._controls.values()
+            if control.heartbeat is not None
+            and now - control.heard_at < CONTROL_TIMEOUT_SECONDS
+        ]
+
+    def _heartbeat_controls(self, now: float) -> list[tuple[str, Control]]:
+        """Return the control VMs that get heartbeats: those with the log.
+
+        Until one of these has answered, all known control VMs get heartbeats,
+        since any of them can name the others.
+        """
+        known = list(self._controls.items())
+        log_controls = [item for item in known if item[1].keeps_log]
+        if any(control.heartbeat is not None for _, control in log_controls):
+            return log_controls
+        return known
+
+    def _heartbeat_interval_s(
+        self, name: str, control: Control, now: float
+    ) -> float:
+        """Return the heartbeat interval to a control VM, in seconds.
+
+        Agents send at half the rate to control VMs that do not lead; these
+        must know all agents only in case they become leader.
+        """
+        if now - control.heard_at >= CONTROL_TIMEOUT_SECONDS:
+            return UNREACHABLE_HEARTBEAT_SECONDS
+        if not self._wants_content:
+            is_leader = name == self.leader(now)[0]
+            return self._heartbeat_s if is_leader else 2 * self._heartbeat_s
+        if self._is_local(control):
+            return self._heartbeat_s
+        return max(self._heartbeat_s, REMOTE_HEARTBEAT_SECONDS)
+
+    def _build_heartbeat(
+        self, name: str, control: Control, now: float
+    ) -> core.Send:
+        control.heartbeat_sent_at = now
+        heartbeat = records.NodeBeat(
+            node=self.node,
+            version=self.version,
+            digest=control.targets_digest,
+            nodes_digest=control.nodes_digest,
+            controls_digest=control.controls_digest,
+        )
+        return core.Send(dst=name, msg=heartbeat)
+
+    def _on_node_changes(self, control: Control, msg: records.NodeNews) -> None:
+        if control.nodes_digest != msg.before:
+            # A change was lost; the digest in the next heartbeat reveals it.
+            return
+        control.nodes_digest = msg.after
+        for node in msg.nodes:
+            if node.open:
+                control.nodes[node.name] = node
+            else:
+                control.nodes.pop(node.name, None)
+
+    def _on_heartbeat(
+        self, src: str, msg: records.ControlBeat, now: float
+    ) -> Actions:
+        control = self._mark_heard(src, now)
+        control.heartbeat = msg
+        if msg.controls:
+            control.controls_digest = msg.controls_digest
+        for name in msg.controls:
+            self._controls.setdefault(name, Control())
+        self._record_announced_version(src, msg.version, now)
+        return self._pull(now)
+
+    def _on_targets(
+        self, src: str, msg: records.Targets, now: float
+    ) -> Actions:
+        if msg.digest:
+            self._mark_heard(src, now).targets_digest = msg.digest
+        out: Actions = []
+        for target, age in zip(msg.targets, msg.ages, strict=False):
+            self.directory.merge(target, now, age)
+            held = self.directory.get(target.target_id)
+            if held is None or held.presence <= target.presence:
+                continue
+            order = incarnation.compare(target.born, held.born)
+            if order is incarnation.Start.SAME:
+                # The control VM has lost the record that the target leaves.
+                out.append(core.Send(dst=src, msg=records.News(target=held)))
+        return out
+
+    def _record_announced_version(
+        self, src: str, version: int, now: float
+    ) -> None:
+        if version > max(self._announced_versions.values(), default=0):
+            self._newest_announced_at = now
+        self._announced_versions[src] = version
+
+    def _pull(self, now: float) -> Actions:
+        if not self._wants_content:
+            return []
+        ahead = self._controls_ahead()
+        if not ahead or now - self._last_pull_at < PULL_RETRY_SECONDS:
+            return []
+        local = [
+            name
+            for name in ahead
+            if name in self._controls and self._is_local(self._controls[name])
+        ]
+        remote_allowed = (
+            now - self._newest_announced_at >= REMOTE_PULL_DELAY_SECONDS
+        )
+        if not local and not remote_allowed:
+            return []
+        # Rotate sources, so that one that does not answer is skipped next.
+        sources = ahead if remote_allowed or not local else local
+        source = sources[self._pull_count % len(sources)]
+        self._pull_count += 1
+        self._last_pull_at = now
+        pull = messages.Pull(held=self.version)
+        return [core.Send(dst=source, msg=pull)]
+
+    def _controls_ahead(self) -> list[str]:
+        """Return the control VMs that announced a higher version."""
+        if not self._wants_content:
+            return []
+        return [
+            name
+            for name, version in self._announced_versions.items()
+            if version > self.version
+        ]
+
+    def _is_local(self, control: Control) -> bool:
+        heartbeat = control.heartbeat
+        return heartbeat is not None and heartbeat.place == self.node.place
--- a/jasperweir/components/follow/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""What entries and agents learn from the control VMs."""
--- a/jasperweir/components/limits/retry.py
+++ b/jasperweir/components/limits/retry.py
@@ -5,8 +5,8 @@
 from jasperweir.components.limits import const
 
 
-class Budget:
-    """Allow retries only as a small share of first tries."""
+class RetryBudget:
+    """Token bucket that limits retries to a share of first attempts."""
 
     def __init__(
         self,
@@ -18,12 +18,12 @@
         self._burst = burst
         self._tokens = burst
 
-    def first_try(self) -> None:
-        """Earn a part of a retry."""
+    def record_first_attempt(self) -> None:
+        """Add a fraction of a retry for a first attempt."""
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
-    def spend(self) -> bool:
-        """Take a retry, if there is one."""
+    def try_spend(self) -> bool:
+        """Use up a retry; return whether one was available."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -31,6 +31,6 @@
 
 
 def backoff(attempt: int, rng: random.Random) -> float:
-    """Return seconds to wait before a retry, with full jitter."""
+    """Return the seconds to wait before a retry, with full jitter."""
     ceiling = const.BACKOFF_FIRST_SECONDS * 2**attempt
     return rng.uniform(0, min(ceiling, const.BACKOFF_MAX_SECONDS))
