--- a/features/harness/matrix.py
+++ b/features/harness/matrix.py
@@ -144,7 +144,7 @@
     run(net, 5)
     heal(net)
     restart(net)
-    net.settle(20)
+    net.wait_for_leader(20)
     assert net.propose(b"last")
     run(net, 3)
     for name in net.voters:
@@ -158,7 +158,7 @@
         restart(net)
         run(net, 5)
         try:
-            net.seat(name)
+            net.add_voter(name)
         except AssertionError:
             continue
         return
--- a/features/harness/quorum.py
+++ b/features/harness/quorum.py
@@ -16,23 +16,23 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.number = 0
-        self.lose()
+        self.generation = 0
+        self.wipe()
 
-    def lose(self) -> None:
-        self.number += 1
+    def wipe(self) -> None:
+        self.generation += 1
         self.meta = messages.Meta()
         self.snapshot = messages.Snapshot()
         self.entries: dict[int, messages.Entry] = {}
-        self.uncertain = False
+        self.tail_uncertain = False
 
     def recovered(self) -> messages.Recovered:
         return messages.Recovered(
-            disk=f"{self.name}-disk-{self.number}",
+            disk=f"{self.name}-disk-{self.generation}",
             meta=self.meta,
             snapshot=self.snapshot,
             entries=tuple(self.entries[i] for i in sorted(self.entries)),
-            tail_uncertain=self.uncertain,
+            tail_uncertain=self.tail_uncertain,
         )
 
     def save(self, act) -> None:
@@ -66,11 +66,11 @@
         self.applied: dict[str, list[messages.Entry]] = {}
         self.leaders: dict[int, str] = {}
         self.leases: list[str] = []
-        self.crash_at: dict[str, int] = {}
-        self.drop = 0.0
-        self.double = 0.0
+        self.actions_until_crash: dict[str, int] = {}
+        self.drop_rate = 0.0
+        self.duplicate_rate = 0.0
         self.shuffle = False
-        self.steps = 0
+        self.action_count = 0
         self.tap = None
         for name in names:
             self.start(name)
@@ -91,13 +91,13 @@
 
     def perform(self, name: str, acts: list) -> None:
         for act in acts:
-            if self.crash_at.get(name) == 0:
-                del self.crash_at[name]
+            if self.actions_until_crash.get(name) == 0:
+                del self.actions_until_crash[name]
                 self.kill(name)
                 return
-            if name in self.crash_at:
-                self.crash_at[name] -= 1
-            self.steps += 1
+            if name in self.actions_until_crash:
+                self.actions_until_crash[name] -= 1
+            self.action_count += 1
             match act:
                 case core.Send():
                     self.post(name, act)
@@ -109,12 +109,12 @@
                     self.disks[name].save(act)
 
     def post(self, name: str, act: core.Send) -> None:
-        if (name, act.dst) in self.cut or self.rng.random() < self.drop:
+        if (name, act.dst) in self.cut or self.rng.random() < self.drop_rate:
             return
         if self.tap is not None and self.tap(self, name, act.dst, act.msg):
             return
         self.queue.append((name, act.dst, act.msg))
-        if self.rng.random() < self.double:
+        if self.rng.random() < self.duplicate_rate:
             self.queue.append((name, act.dst, act.msg))
 
     def check_commit(self, name: str, act: actions.Commit) -> None:
@@ -137,7 +137,7 @@
         ]
         assert len(held) <= 1, f"leases held by {held}"
 
-    def deliver(self) -> None:
+    def deliver_messages(self) -> None:
         pending = list(self.queue)
         self.queue.clear()
         if self.shuffle:
@@ -161,7 +161,7 @@
                 self.perform(name, self.voters[name].tick(self.now))
                 self.check_leases()
             for _ in range(4):
-                self.deliver()
+                self.deliver_messages()
 
     def leader(self) -> str:
         found = [
@@ -171,7 +171,7 @@
         ]
         return found[0] if found else ""
 
-    def settle(self, seconds: float = 12.0) -> str:
+    def wait_for_leader(self, seconds: float = 12.0) -> str:
         for _ in range(round(seconds / 0.2)):
             self.run(0.2)
             if self.leader():
@@ -180,13 +180,13 @@
 
     def found(self, first: str) -> None:
         self.perform(first, self.voters[first].bootstrap("a"))
-        self.settle()
+        self.wait_for_leader()
         for name in self.disks:
             if name != first:
-                self.seat(name)
+                self.add_voter(name)
 
-    def seat(self, name: str) -> None:
-        lead = self.voters[self.settle()]
+    def add_voter(self, name: str) -> None:
+        lead = self.voters[self.wait_for_leader()]
         disk = self.disks[name].recovered().disk
         seat = messages.Seat(name=name, disk=disk, addr="a", voting=False)
         for _ in range(50):
@@ -200,7 +200,7 @@
             self.run(0.2)
         for _ in range(50):
             self.run(0.2)
-            found = lead.seat(name)
+            found = lead.find_seat(name)
             if found and found.voting and lead.seats_index <= lead.commit:
                 return
         raise AssertionError(f"{name} got no vote")
@@ -221,7 +221,7 @@
             if other != name:
                 self.cut |= {(name, other), (other, name)}
 
-    def data(self) -> list[bytes]:
+    def committed_ops(self) -> list[bytes]:
         return [
             self.committed[i].data
             for i in sorted(self.committed)
--- a/features/harness/site.py
+++ b/features/harness/site.py
@@ -92,7 +92,7 @@
 
     def wipe(self, name):
         self.kill(name)
-        self.disks[name].lose()
+        self.disks[name].wipe()
         self.hints[name] = 0
         self.sides.pop(name, None)
 
--- a/features/steps/declared_steps.py
+++ b/features/steps/declared_steps.py
@@ -210,7 +210,7 @@
 def step_seats(context, count):
     site = context.site
     leader = site.nodes[site.leader()]
-    found = {s.name: s.disk for s in progress.voters(leader.voter.seats)}
+    found = {s.name: s.disk for s in progress.voting_seats(leader.voter.seats)}
     assert found == {n: site.nodes[n].voter.disk for n in site.names}, found
     assert len(found) == count, found
 
@@ -227,7 +227,7 @@
 def step_voting(context, names):
     site = context.site
     leader = site.nodes[site.leader()]
-    found = [s.name for s in progress.voters(leader.voter.seats)]
+    found = [s.name for s in progress.voting_seats(leader.voter.seats)]
     assert sorted(found) == names.split(","), found
 
 
--- a/features/steps/lead_steps.py
+++ b/features/steps/lead_steps.py
@@ -9,19 +9,19 @@
 from features.harness import quorum
 
 
-def restart_all(count, seed, *, wiped):
+def restart_all_voters(count, seed, *, wiped):
     """Return the seconds from the last start to a lead after a power loss."""
     rng = random.Random(seed)
     net = quorum.Net([f"v{number}" for number in range(count)], seed)
     net.found("v0")
-    led = net.settle()
+    led = net.wait_for_leader()
     names = list(net.voters)
     for name in names:
         net.kill(name)
     net.queue.clear()
     net.now += 1.2
     if wiped:
-        net.disks[led].lose()
+        net.disks[led].wipe()
     starts = [(rng.choice((0.0, 0.05, 0.1, 0.15)), name) for name in names]
     began = net.now
     for after_s, name in sorted(starts):
@@ -41,7 +41,7 @@
 )
 def step_restart(context, count, times):
     context.waits = [
-        restart_all(count, seed, wiped=False) for seed in range(times)
+        restart_all_voters(count, seed, wiped=False) for seed in range(times)
     ]
 
 
@@ -51,7 +51,7 @@
 )
 def step_restart_wiped(context, count, times):
     context.waits = [
-        restart_all(count, seed, wiped=True) for seed in range(times)
+        restart_all_voters(count, seed, wiped=True) for seed in range(times)
     ]
 
 
@@ -65,11 +65,11 @@
     assert max(context.waits) <= seconds, sorted(context.waits)
 
 
-def start_anew_beside_a_cut(seed):
+def restart_voter_beside_partition(seed):
     """Let the one voter that hears the leader start again and again."""
     net = quorum.Net(["v0", "v1", "v2"], seed)
     net.found("v0")
-    led = net.settle()
+    led = net.wait_for_leader()
     deaf, hearing = (name for name in net.voters if name != led)
     net.cut_pair(led, deaf)
     net.run(2.0)
@@ -84,11 +84,11 @@
     "3 voters of which one does not hear the leader, and the other starts anew,"
     " {times:d} times"
 )
-def step_anew(context, times):
+def step_restart_repeatedly(context, times):
     context.overlaps = []
     for seed in range(times):
         try:
-            start_anew_beside_a_cut(seed)
+            restart_voter_beside_partition(seed)
         except AssertionError as exc:
             context.overlaps.append((seed, str(exc)))
 
--- a/features/steps/quorum_steps.py
+++ b/features/steps/quorum_steps.py
@@ -16,110 +16,110 @@
 
 
 @given("{count:d} voters")
-def voters(context, count):
+def step_voters(context, count):
     context.net = quorum.Net(NAMES[:count])
     context.net.found("a")
-    context.net.settle()
+    context.net.wait_for_leader()
     context.old = ""
     context.killed = ""
 
 
 @when('"{one}" and "{two}" are proposed')
-def propose_two(context, one, two):
+def step_propose_two(context, one, two):
     for text in (one, two):
-        assert context.net.settle()
+        assert context.net.wait_for_leader()
         assert context.net.propose(text.encode())
         context.net.run(0.5)
 
 
 @when("the leader is cut off")
-def cut_leader(context):
-    context.old = context.net.settle()
+def step_cut_leader(context):
+    context.old = context.net.wait_for_leader()
     context.net.cut_off(context.old)
 
 
 @when("the leader is cut off from one follower")
-def cut_one(context):
-    lead = context.net.settle()
+def step_cut_leader_from_follower(context):
+    lead = context.net.wait_for_leader()
     out = sorted(set(context.net.voters) - {lead})[0]
     context.cut_one = out
     context.net.cut |= {(lead, out), (out, lead)}
 
 
 @when("the other follower restarts with a damaged tail")
-def damaged(context):
+def step_restart_damaged_tail(context):
     net = context.net
-    lead = net.settle()
+    lead = net.wait_for_leader()
     name = next(n for n in net.voters if n not in (lead, context.cut_one))
     disk = net.disks[name]
     del disk.entries[max(disk.entries)]
-    disk.uncertain = True
+    disk.tail_uncertain = True
     net.kill(name)
     net.cut_off(lead)
     net.start(name)
 
 
 @when("all cuts heal")
-def heal(context):
+def step_heal(context):
     context.net.cut.clear()
 
 
 @when("{seconds:d} seconds pass")
-def passes(context, seconds):
+def step_pass(context, seconds):
     context.net.run(seconds)
 
 
 @when("the leader is frozen")
-def freeze(context):
-    context.old = context.net.settle()
+def step_freeze_leader(context):
+    context.old = context.net.wait_for_leader()
     context.net.frozen.add(context.old)
 
 
 @when("{seconds:d} seconds pass in long steps")
-def long_steps(context, seconds):
+def step_jump_clock(context, seconds):
     context.net.run(10)
     context.net.now += seconds
 
 
 @when("the frozen voter thaws")
-def thaw(context):
+def step_thaw(context):
     context.net.frozen.discard(context.old)
 
 
 @when("a follower loses its disk")
-def lose_disk(context):
+def step_wipe_follower(context):
     net = context.net
-    lead = net.settle()
+    lead = net.wait_for_leader()
     name = sorted(set(net.voters) - {lead})[0]
     net.kill(name)
-    net.disks[name].lose()
+    net.disks[name].wipe()
     net.start(name)
     context.lost = name
 
 
 @when("all voters lose their disks")
-def lose_all(context):
+def step_wipe_all(context):
     for name in list(context.net.voters):
         context.net.kill(name)
-        context.net.disks[name].lose()
+        context.net.disks[name].wipe()
         context.net.start(name)
 
 
 @when("the lost voter gets a new seat")
-def reseat(context):
+def step_replace_seat(context):
     net = context.net
-    lead = net.voters[net.settle()]
+    lead = net.voters[net.wait_for_leader()]
     held = lead.seats
     kept = tuple(s for s in held.seats if s.name != context.lost)
     idx, out = lead.change_seats(held._replace(seats=kept), net.now)
     assert idx
     net.perform(lead.name, out)
     net.run(1)
-    net.seat(context.lost)
+    net.add_voter(context.lost)
 
 
 @when("the leader is killed")
-def kill_leader(context):
+def step_kill_leader(context):
     context.killed = context.net.leader() or next(
         n for n, v in context.net.voters.items() if v.role == voter_lib.LEADER
     )
@@ -127,28 +127,28 @@
 
 
 @when("a follower is killed")
-def kill_follower(context):
+def step_kill_follower(context):
     net = context.net
-    lead = net.settle()
+    lead = net.wait_for_leader()
     context.killed = sorted(set(net.voters) - {lead})[0]
     net.kill(context.killed)
 
 
 @when("the killed voter restarts")
-def restart(context):
+def step_restart(context):
     context.net.start(context.killed)
 
 
 @when("the leader hands over")
-def hand_over(context):
+def step_transfer(context):
     net = context.net
     net.run(1)
-    context.old = net.settle()
+    context.old = net.wait_for_leader()
     net.perform(context.old, net.voters[context.old].hand_over(net.now))
 
 
 @when("{count:d} entries are proposed and compacted")
-def compact(context, count):
+def step_compact(context, count):
     net = context.net
     for i in range(count):
         assert net.propose(b"%d" % i), i
@@ -158,23 +158,23 @@
 
 
 @then("another voter leads")
-def other_leads(context):
+def step_other_leads(context):
     assert context.net.leader() not in ("", context.old)
 
 
 @then("the old leader accepts no proposal")
 @then("the thawed voter accepts no proposal")
-def refuses(context):
+def step_proposal_refused(context):
     assert context.net.propose(b"x", context.old) == 0
 
 
 @then("nobody leads")
-def no_leader(context):
+def step_no_leader(context):
     assert context.net.leader() == ""
 
 
 @then('every voter has applied "{one}" and "{two}"')
-def applied(context, one, two):
+def step_applied(context, one, two):
     context.net.run(2)
     for name in context.net.voters:
         data = [e.data for e in context.net.applied[name]]
@@ -182,30 +182,32 @@
 
 
 @then("every voter is at the same commit")
-def same_commit(context):
+def step_same_commit(context):
     commits = {n: v.commit for n, v in context.net.voters.items()}
     assert len(commits) == 3 and len(set(commits.values())) == 1, commits
 
 
 FAULTS = {
-    "kill": lambda net, name, at: net.crash_at.update({name: at}),
-    "kill and disk loss": lambda net, name, at: net.crash_at.update({name: at}),
+    "kill": lambda net, name, at: net.actions_until_crash.update({name: at}),
+    "kill and disk loss": lambda net, name, at: net.actions_until_crash.update(
+        {name: at}
+    ),
     "freeze": lambda net, name, at: net.frozen.add(name),
     "cut": lambda net, name, at: net.cut_off(name),
     "one-way cut": lambda net, name, at: net.cut.update(
         {(name, other) for other in net.disks if other != name}
     ),
-    "duplicates": lambda net, name, at: setattr(net, "double", 0.5),
+    "duplicates": lambda net, name, at: setattr(net, "duplicate_rate", 0.5),
     "reordering": lambda net, name, at: setattr(net, "shuffle", True),
-    "loss": lambda net, name, at: setattr(net, "drop", 0.3),
+    "loss": lambda net, name, at: setattr(net, "drop_rate", 0.3),
 }
 
 
-def one_change(fault, who, at):
+def run_change_with_fault(fault, who, at):
     """Hit one change at one action of one voter; return what was lost."""
     net = quorum.Net(NAMES[:3], seed=at)
     net.found("a")
-    lead = net.settle()
+    lead = net.wait_for_leader()
     accepted = []
     if net.propose(b"before"):
         net.run(1)
@@ -221,32 +223,34 @@
     ):
         accepted.append(b"during")
     net.run(6)
-    net.crash_at.clear()
+    net.actions_until_crash.clear()
     net.frozen.clear()
     net.cut.clear()
-    net.drop = 0
+    net.drop_rate = 0
     if name not in net.voters:
         if fault == "kill and disk loss":
-            net.disks[name].lose()
+            net.disks[name].wipe()
         net.start(name)
-    net.settle()
+    net.wait_for_leader()
     assert net.propose(b"after")
     net.run(2)
-    lost = [d for d in [*accepted, b"after"] if d not in net.data()]
-    doubled = [d for d in net.data() if net.data().count(d) > 1]
+    lost = [d for d in [*accepted, b"after"] if d not in net.committed_ops()]
+    doubled = [
+        d for d in net.committed_ops() if net.committed_ops().count(d) > 1
+    ]
     return lost + doubled
 
 
 @when("every action of a change is hit by {fault}")
-def every_action(context, fault):
+def step_fault_at_every_action(context, fault):
     context.lost = []
     for who in range(3):
         for at in range(8):
-            context.lost += one_change(fault, who, at)
+            context.lost += run_change_with_fault(fault, who, at)
 
 
 @then("no accepted entry was lost")
-def none_lost(context):
+def step_none_lost(context):
     assert not context.lost, context.lost
 
 
@@ -256,7 +260,7 @@
 )  # fmt: skip
 
 
-def schedule(seed, events):
+def run_schedule(seed, events):
     """Run one schedule of events; the harness checks after each action."""
     net = quorum.Net(NAMES[:5], seed=seed)
     net.found("a")
@@ -267,7 +271,7 @@
         alive = name in net.voters
         match event:
             case "propose":
-                net.propose(b"%d" % net.steps)
+                net.propose(b"%d" % net.action_count)
             case "run":
                 net.run(rng.uniform(0.1, 3.0))
             case "kill":
@@ -276,7 +280,7 @@
                 net.start(name)
             case "wipe" if not alive and len(wiped | {name}) <= 2:
                 wiped.add(name)
-                net.disks[name].lose()
+                net.disks[name].wipe()
             case "cut":
                 net.cut_off(name)
             case "heal":
@@ -286,23 +290,23 @@
             case "thaw":
                 net.frozen.clear()
             case "drop":
-                net.drop, net.double, net.shuffle = 0.2, 0.2, True
+                net.drop_rate, net.duplicate_rate, net.shuffle = 0.2, 0.2, True
             case "clean":
-                net.drop, net.double, net.shuffle = 0.0, 0.0, False
+                net.drop_rate, net.duplicate_rate, net.shuffle = 0.0, 0.0, False
             case "compact" if alive:
                 voter = net.voters[name]
                 net.perform(name, voter.compact(voter.commit, b"s"))
             case "hand over" if alive:
                 net.perform(name, net.voters[name].hand_over(net.now))
-    return net.steps
+    return net.action_count
 
 
 @then("{count:d} random schedules of {length:d} events keep every invariant")
-def random_schedules(context, count, length):
-    draws.schedules(count, length, EVENTS, schedule)
+def step_random_schedules(context, count, length):
+    draws.schedules(count, length, EVENTS, run_schedule)
 
 
-def lone_voter(entries=(), meta=None, disk="a-disk"):
+def voter_without_peers(entries=(), meta=None, disk="a-disk"):
     """Return a voter of three that has heard nobody, long after start."""
     seats = messages.Seats(
         tuple(messages.Seat(n, f"{n}-disk", "x", True) for n in "abc"), "log"
@@ -320,7 +324,7 @@
     )
 
 
-def candidate(voter):
+def make_candidate(voter):
     """Let a voter's time run out and its pre-vote succeed."""
     voter.tick(0.0)
     yes = messages.PreVoteReply(voter.term + 1, True, "b-disk")
@@ -329,19 +333,19 @@
     return voter
 
 
-def sent(acts, kind):
+def messages_of_type(acts, kind):
     return [a.msg for a in acts if isinstance(getattr(a, "msg", 0), kind)]
 
 
-def wiped_vote():
-    voter = candidate(lone_voter())
+def check_wiped_disk_vote_ignored():
+    voter = make_candidate(voter_without_peers())
     reply = messages.VoteReply(voter.term, True, "b-new-disk")
     voter.receive("b", reply, 0.0)
     assert voter.role == voter_lib.CANDIDATE
 
 
-def live_leader():
-    voter = lone_voter()
+def check_live_leader_not_deposed():
+    voter = voter_without_peers()
     beat = messages.Append(1, 1, 1, (), 1, 1, 1)
     voter.receive("b", beat, 0.0)
     ask = messages.Vote(9, 99, 9, "c-disk")
@@ -349,22 +353,24 @@
     assert voter.term == 1
 
 
-def stale_log():
-    voter = lone_voter((messages.Entry(2, 1, "op", b"x"),))
+def check_stale_log_gets_no_vote():
+    voter = voter_without_peers((messages.Entry(2, 1, "op", b"x"),))
     out = voter.receive("c", messages.Vote(2, 1, 1, "c-disk"), 0.0)
-    assert not sent(out, messages.VoteReply)[0].granted
+    assert not messages_of_type(out, messages.VoteReply)[0].granted
 
 
-def one_vote():
-    voter = lone_voter()
+def check_one_vote_per_term():
+    voter = voter_without_peers()
     first = voter.receive("b", messages.Vote(2, 9, 1, "b-disk"), 0.0)
     second = voter.receive("c", messages.Vote(2, 9, 1, "c-disk"), 0.0)
-    assert sent(first, messages.VoteReply)[0].granted
-    assert not sent(second, messages.VoteReply)[0].granted
+    assert messages_of_type(first, messages.VoteReply)[0].granted
+    assert not messages_of_type(second, messages.VoteReply)[0].granted
 
 
-def own_term():
-    voter = candidate(lone_voter((messages.Entry(2, 1, "op", b"x"),)))
+def check_own_term_before_commit():
+    voter = make_candidate(
+        voter_without_peers((messages.Entry(2, 1, "op", b"x"),))
+    )
     yes = messages.VoteReply(voter.term, True, "b-disk")
     voter.receive("b", yes, 0.0)
     assert voter.role == voter_lib.LEADER
@@ -373,25 +379,25 @@
     assert voter.commit == 0, voter.commit
 
 
-def handing_over():
+def check_transfer_ends_lease():
     net = quorum.Net(NAMES[:3])
     net.found("a")
     net.run(1)
-    lead = net.voters[net.settle()]
+    lead = net.voters[net.wait_for_leader()]
     assert lead.hand_over(net.now)
     assert not lead.has_lease(net.now)
 
 
 LOG_GUARDS = {
-    "a wiped disk's vote does not count": wiped_vote,
-    "a live leader is not deposed": live_leader,
-    "a stale log gets no vote": stale_log,
-    "one vote a term": one_vote,
-    "own term before commit": own_term,
-    "handing over ends the lease": handing_over,
+    "a wiped disk's vote does not count": check_wiped_disk_vote_ignored,
+    "a live leader is not deposed": check_live_leader_not_deposed,
+    "a stale log gets no vote": check_stale_log_gets_no_vote,
+    "one vote a term": check_one_vote_per_term,
+    "own term before commit": check_own_term_before_commit,
+    "handing over ends the lease": check_transfer_ends_lease,
 }
 
 
 @then("the log's guard holds: {guard}")
-def log_guard(context, guard):
+def step_check(context, guard):
     LOG_GUARDS[guard]()
--- a/features/steps/storage_steps.py
+++ b/features/steps/storage_steps.py
@@ -13,14 +13,14 @@
 from jasperweir.components.quorum import voter as voter_lib
 
 
-def reopen(context):
+def open_folder(context):
     disk = storage.DiskStorage(folder=context.folder)
     return disk, disk.open()
 
 
 @given("a data folder with {count:d} entries")
-def folder(context, count):
-    disk, found = reopen(context)
+def step_folder(context, count):
+    disk, found = open_folder(context)
     context.identity = found.disk
     disk.save_meta(messages.Meta(3, "a"))
     entries = tuple(
@@ -34,8 +34,8 @@
 
 
 @then("all {count:d} entries are read back under the same identity")
-def read_back(context, count):
-    _, found = reopen(context)
+def step_read_back(context, count):
+    _, found = open_folder(context)
     assert found.entries == context.entries and len(found.entries) == count
     assert found.disk == context.identity
     assert found.meta == messages.Meta(3, "a")
@@ -43,71 +43,71 @@
 
 
 @then("a log torn at any byte yields only whole entries")
-def torn(context):
+def step_torn(context):
     raw = context.log.read_bytes()
     for size in range(len(raw)):
-        result = storage.scan(raw[:size])
+        result = storage.scan_log(raw[:size])
         count = len(result.entries)
         assert result.entries == context.entries[:count]
         assert result.valid_bytes <= size
         assert not result.tail_uncertain, size
 
 
-def flip(context, at):
+def flip_bit(context, at):
     raw = bytearray(context.log.read_bytes())
     raw[at] ^= 1
     context.log.write_bytes(bytes(raw))
 
 
 @when("a bit of the first entry flips")
-def flip_first(context):
-    flip(context, 15)
+def step_flip_first(context):
+    flip_bit(context, 15)
 
 
 @when("a bit of the last entry flips")
-def flip_last(context):
-    flip(context, -1)
+def step_flip_last(context):
+    flip_bit(context, -1)
 
 
 @then("opening the folder is refused as damaged")
-def damaged(context):
+def step_refused_as_damaged(context):
     try:
-        reopen(context)
+        open_folder(context)
     except exceptions.LogCorruptError:
         return
     raise AssertionError("a damaged log was accepted")
 
 
 @then("{count:d} entries are read and the tail is uncertain")
-def uncertain(context, count):
-    _, found = reopen(context)
+def step_tail_uncertain(context, count):
+    _, found = open_folder(context)
     assert len(found.entries) == count and found.tail_uncertain
 
 
 @when("a snapshot up to {idx:d} is saved")
-def snapshot(context, idx):
-    disk, _ = reopen(context)
+def step_snapshot(context, idx):
+    disk, _ = open_folder(context)
     kept = tuple(e for e in context.entries if e.idx > idx)
     disk.save_snapshot(messages.Snapshot(idx, 1, data=b"state"), kept)
     disk.close()
 
 
 @then("the snapshot and {count:d} entries are read back")
-def snapshot_back(context, count):
-    _, found = reopen(context)
+def step_snapshot_read_back(context, count):
+    _, found = open_folder(context)
     assert found.snapshot.data == b"state" and len(found.entries) == count
 
 
 @when("only the snapshot file of index {idx:d} is replaced")
-def half_snapshot(context, idx):
+def step_replace_snapshot_only(context, idx):
     raw = context.log.read_bytes()
-    snapshot(context, idx)
+    step_snapshot(context, idx)
     context.log.write_bytes(raw)
 
 
 @then("a voter on it is at index {idx:d}")
-def voter_at(context, idx):
-    _, found = reopen(context)
+def step_voter_index(context, idx):
+    _, found = open_folder(context)
     voter = voter_lib.Voter(
         name="a", recovered=found, rng=random.Random(1), now=0.0
     )
@@ -115,22 +115,22 @@
 
 
 @when("the identity file is removed")
-def no_identity(context):
+def step_remove_identity(context):
     (context.folder / storage.IDENTITY_FILE).unlink()
 
 
 @then("opening the folder is refused")
-def refused(context):
+def step_refused(context):
     try:
-        reopen(context)
+        open_folder(context)
     except exceptions.StorageError:
         return
     raise AssertionError("a log without identity was accepted")
 
 
 @when("the disk is full")
-def full(context):
-    context.disk, _ = reopen(context)
+def step_disk_full(context):
+    context.disk, _ = open_folder(context)
     # Writing to this device fails as a full disk does.
     fd = os.open("/dev/full", os.O_WRONLY)
     os.dup2(fd, context.disk._fd)
@@ -138,12 +138,12 @@
 
 
 @then("an append is refused and the earlier entries are kept")
-def append_refused(context):
+def step_append_refused(context):
     entry = messages.Entry(4, 1, "op", b"x")
     try:
         context.disk.save_entries(4, (entry,))
     except exceptions.StorageError:
-        _, found = reopen(context)
+        _, found = open_folder(context)
         assert found.entries == context.entries
         return
     raise AssertionError("a full disk accepted an entry")
--- a/jasperweir/components/configctl/node.py
+++ b/jasperweir/components/configctl/node.py
@@ -356,7 +356,7 @@
         voting = [s for s in self.voter.seats.seats if s.voting]
         if len(voting) >= self._wanted:
             return True
-        waited = now - self.voter.led_since >= const.SEATS_WAIT_SECONDS
+        waited = now - self.voter.leader_since >= const.SEATS_WAIT_SECONDS
         return waited and len(voting) >= self._least
 
     # Committed entries.
@@ -430,7 +430,7 @@
         for seat in self.voter.seats.seats:
             progress = self.voter.progress_of(seat.name)
             if progress is not None:
-                since = self.voter.led_since
+                since = self.voter.leader_since
                 heard_at[seat.name] = max(progress.acked_at, since)
         change = seats_lib.next_seats(
             seats=self.voter.seats,
--- a/jasperweir/components/configctl/seats.py
+++ b/jasperweir/components/configctl/seats.py
@@ -53,7 +53,7 @@
                 voting=False,
             )
             return seats._replace(seats=(*seats.seats, learner))
-    if len(progress_lib.voters(seats)) <= wanted:
+    if len(progress_lib.voting_seats(seats)) <= wanted:
         return None
     silent = [
         seat
--- a/jasperweir/components/control/controller.py
+++ b/jasperweir/components/control/controller.py
@@ -109,10 +109,10 @@
 
     def add_seat(self, name: str, now: float) -> tuple[Code, Actions]:
         """Give a waiting process a seat as a learner, then as a voter."""
-        hello = self.voter.waiting.get(name)
+        hello = self.voter.seat_requests.get(name)
         if hello is None:
             return Code.NOT_FOUND, []
-        held = self.voter.seat(name)
+        held = self.voter.find_seat(name)
         if held is not None and held.disk == hello.disk:
             return Code.ACCEPTED, []
         if held is not None:
@@ -127,7 +127,7 @@
 
     def remove_seat(self, name: str, now: float) -> tuple[Code, Actions]:
         """Take a seat away, for good."""
-        if self.voter.seat(name) is None:
+        if self.voter.find_seat(name) is None:
             return Code.ACCEPTED, []
         seats = self.voter.seats._replace(
             seats=tuple(s for s in self.voter.seats.seats if s.name != name)
@@ -212,7 +212,7 @@
         )
 
     def _leader_address(self) -> str:
-        seat = self.voter.seat(self.voter.leader)
+        seat = self.voter.find_seat(self.voter.leader)
         return seat.addr if seat else ""
 
     def _hello(self) -> Actions:
--- a/jasperweir/components/quorum/const.py
+++ b/jasperweir/components/quorum/const.py
@@ -23,7 +23,7 @@
 # which votes arrive, a synced write and a round trip. Seconds.
 START_ELECTION_SECONDS = (0.15, 0.45)
 # It does so for this long after its start; later the others are down. Seconds.
-START_RETRIES_SECONDS = 3.0
+START_WINDOW_SECONDS = 3.0
 APPEND_MAX_ENTRIES = 64
 APPEND_MAX_BYTES = 256 * 1024
 SNAPSHOT_CHUNK_BYTES = 256 * 1024
--- a/jasperweir/components/quorum/following.py
+++ b/jasperweir/components/quorum/follower.py
@@ -16,22 +16,22 @@
 
     def __init__(self, *, state: state_lib.State) -> None:
         self._state = state
-        self._incoming = bytearray()
-        self._incoming_index = 0
+        self._snapshot_buffer = bytearray()
+        self._snapshot_buffer_index = 0
 
     def on_append(self, src: str, msg: messages.Append) -> Actions:
         """Merge entries if they follow on what is held here."""
-        if not self._matches(msg.prev_index, msg.prev_term):
+        if not self._has_entry(msg.prev_index, msg.prev_term):
             hint = min(msg.prev_index - 1, self._state.log.last_index)
             return [self._append_reply(src, ok=False, match=hint, msg=msg)]
-        out = self._merge(msg.entries)
+        out = self._merge_entries(msg.entries)
         match = msg.prev_index + len(msg.entries)
         if match >= msg.last:
             self._state.may_vote = True
         commit = min(msg.commit, match)
         out.append(self._append_reply(src, ok=True, match=match, msg=msg))
         if commit > self._state.commit:
-            out += self._state.commit_to(commit)
+            out += self._state.advance_commit(commit)
         return out
 
     def _append_reply(
@@ -46,20 +46,22 @@
         )
         return core.Send(dst=src, msg=reply)
 
-    def _matches(self, index: int, term: int) -> bool:
+    def _has_entry(self, index: int, term: int) -> bool:
         if index < self._state.log.base_index:
             return True
         return self._state.log.term_at(index) == term
 
-    def _merge(self, entries: tuple[messages.Entry, ...]) -> Actions:
-        fresh = tuple(
+    def _merge_entries(self, entries: tuple[messages.Entry, ...]) -> Actions:
+        new_entries = tuple(
             e for e in entries if self._state.log.term_at(e.idx) != e.term
         )
-        fresh = tuple(e for e in fresh if e.idx > self._state.log.base_index)
-        if not fresh:
+        new_entries = tuple(
+            e for e in new_entries if e.idx > self._state.log.base_index
+        )
+        if not new_entries:
             return []
         # Everything from the first conflicting entry on is replaced.
-        first = fresh[0].idx
+        first = new_entries[0].idx
         tail = tuple(e for e in entries if e.idx >= first)
         replaced = first <= self._state.log.last_index
         if replaced:
@@ -71,32 +73,37 @@
 
     def on_install(self, src: str, msg: messages.Install) -> Actions:
         """Take in a chunk; install the snapshot when it is whole."""
-        if msg.offset == 0 or msg.idx != self._incoming_index:
-            self._incoming.clear()
-            self._incoming_index = msg.idx
-        if msg.offset == len(self._incoming):
-            self._incoming += msg.data
+        if msg.offset == 0 or msg.idx != self._snapshot_buffer_index:
+            self._snapshot_buffer.clear()
+            self._snapshot_buffer_index = msg.idx
+        if msg.offset == len(self._snapshot_buffer):
+            self._snapshot_buffer += msg.data
         reply = messages.InstallReply(
             term=self._state.term,
             idx=msg.idx,
-            held=len(self._incoming),
+            held=len(self._snapshot_buffer),
             round=msg.round,
             disk=self._state.disk,
         )
         send = core.Send(dst=src, msg=reply)
-        if len(self._incoming) < msg.total or msg.idx <= self._state.commit:
+        if (
+            len(self._snapshot_buffer) < msg.total
+            or msg.idx <= self._state.commit
+        ):
             return [send]
         self._state.snapshot = messages.Snapshot(
             idx=msg.idx,
             term=msg.entry_term,
             seats=msg.seats,
-            data=bytes(self._incoming),
+            data=bytes(self._snapshot_buffer),
         )
-        self._incoming.clear()
+        self._snapshot_buffer.clear()
         self._state.log.compact(msg.idx, msg.entry_term)
         self._state.commit = msg.idx
         self._state.reload_seats()
-        kept = self._state.log.between(msg.idx + 1, self._state.log.last_index)
+        kept = self._state.log.entries_between(
+            msg.idx + 1, self._state.log.last_index
+        )
         return [
             actions.SaveSnapshot(snapshot=self._state.snapshot, kept=kept),
             actions.Restore(snapshot=self._state.snapshot),
--- a/jasperweir/components/quorum/log.py
+++ b/jasperweir/components/quorum/log.py
@@ -40,17 +40,19 @@
             return None
         return self._entries[index - self.base_index - 1].term
 
-    def between(self, first: int, last: int) -> tuple[messages.Entry, ...]:
+    def entries_between(
+        self, first: int, last: int
+    ) -> tuple[messages.Entry, ...]:
         """Return entries with first <= index <= last."""
         low = max(first - self.base_index - 1, 0)
         return tuple(self._entries[low : last - self.base_index])
 
-    def batch(self, first: int) -> tuple[messages.Entry, ...]:
+    def next_batch(self, first: int) -> tuple[messages.Entry, ...]:
         """Return the entries from an index on that fit in one message."""
         batch: list[messages.Entry] = []
         size = 0
         last = first + const.APPEND_MAX_ENTRIES - 1
-        for entry in self.between(first, last):
+        for entry in self.entries_between(first, last):
             size += len(entry.data)
             if batch and size > const.APPEND_MAX_BYTES:
                 break
--- a/jasperweir/components/quorum/no_storage.py
+++ b/jasperweir/components/quorum/null_storage.py
@@ -3,7 +3,7 @@
 from jasperweir.components.quorum import messages
 
 
-class NoStorage:
+class NullStorage:
     """Keeps nothing: its process holds no seat and starts empty each time."""
 
     def open(self) -> messages.Recovered:
@@ -32,7 +32,7 @@
     ) -> None:
         """Do nothing: without a seat no snapshot is sent here."""
 
-    def note_commit(self, index: int) -> None:
+    def save_commit_hint(self, index: int) -> None:
         """Do nothing."""
 
     def note_side(self, data: bytes) -> None:
--- a/jasperweir/components/quorum/progress.py
+++ b/jasperweir/components/quorum/progress.py
@@ -10,39 +10,39 @@
     """Replication state of one follower or learner."""
 
     next_index: int
-    match: int = 0
+    match_index: int = 0
     acked_at: float = float("-inf")
     sent_at: float = float("-inf")
     in_flight: bool = False
-    snapshot_held: int = 0
+    snapshot_held_bytes: int = 0
     snapshot_index: int = 0
-    rounds: dict[int, float] = dataclasses.field(default_factory=dict)
+    sent_at_by_round: dict[int, float] = dataclasses.field(default_factory=dict)
 
-    def sent(self, number: int, now: float) -> None:
+    def record_sent(self, number: int, now: float) -> None:
         """Remember when a numbered message left, for the lease."""
-        self.rounds[number] = now
+        self.sent_at_by_round[number] = now
         self.sent_at = now
-        if len(self.rounds) > 32:
-            self.rounds.pop(next(iter(self.rounds)))
+        if len(self.sent_at_by_round) > 32:
+            self.sent_at_by_round.pop(next(iter(self.sent_at_by_round)))
 
-    def acked(self, number: int) -> None:
+    def record_ack(self, number: int) -> None:
         """Extend the lease from the time the answered message was sent."""
-        sent_at = self.rounds.pop(number, None)
+        sent_at = self.sent_at_by_round.pop(number, None)
         if sent_at is not None:
             self.acked_at = max(self.acked_at, sent_at)
 
 
-def voters(seats: messages.Seats) -> list[messages.Seat]:
+def voting_seats(seats: messages.Seats) -> list[messages.Seat]:
     """Return the members that count towards a quorum."""
     return [seat for seat in seats.seats if seat.voting]
 
 
-def majority(count: int) -> int:
+def majority_size(count: int) -> int:
     """Return the smallest number that is more than half."""
     return count // 2 + 1
 
 
-def quorum_value(values: list[float]) -> float:
+def majority_value(values: list[float]) -> float:
     """Return the largest value that a majority has reached."""
     ranked = sorted(values, reverse=True)
-    return ranked[majority(len(ranked)) - 1]
+    return ranked[majority_size(len(ranked)) - 1]
--- a/jasperweir/components/quorum/replication.py
+++ b/jasperweir/components/quorum/replicator.py
@@ -25,9 +25,9 @@
         self._log = log
         self._seats = messages.Seats()
         self._round = 0
-        self.led_since = now
+        self.leader_since = now
 
-    def reseat(self, seats: messages.Seats) -> None:
+    def update_seats(self, seats: messages.Seats) -> None:
         """Follow a change of seats, in force from its append on."""
         self._seats = seats
         names = {s.name for s in seats.seats if s.name != self._name}
@@ -38,64 +38,64 @@
         for name in self.peers.keys() - names:
             del self.peers[name]
 
-    def majority_heard_at(self, now: float) -> float:
+    def majority_acked_at(self, now: float) -> float:
         """Return when the newest message that a majority answered left."""
         times = [
             now if seat.name == self._name else self.peers[seat.name].acked_at
-            for seat in progress_lib.voters(self._seats)
+            for seat in progress_lib.voting_seats(self._seats)
         ]
         if not times:
             return now
-        return progress_lib.quorum_value(times)
+        return progress_lib.majority_value(times)
 
-    def quorum_lost(self, now: float) -> bool:
+    def has_lost_quorum(self, now: float) -> bool:
         """Tell whether a majority has been silent for a whole election."""
-        heard = max(self.majority_heard_at(now), self.led_since)
+        heard = max(self.majority_acked_at(now), self.leader_since)
         return now >= heard + const.ELECTION_MIN_SECONDS
 
-    def committable(self, self_votes: bool) -> int:
+    def majority_match_index(self, self_votes: bool) -> int:
         """Return the highest index that a majority has synced."""
         matches = []
-        for seat in progress_lib.voters(self._seats):
+        for seat in progress_lib.voting_seats(self._seats):
             if seat.name == self._name:
                 matches.append(self._log.last_index if self_votes else 0)
             else:
-                matches.append(self.peers[seat.name].match)
+                matches.append(self.peers[seat.name].match_index)
         if not matches:
             return 0
-        return int(progress_lib.quorum_value([float(m) for m in matches]))
+        return int(progress_lib.majority_value([float(m) for m in matches]))
 
-    def best_successor(self, now: float) -> str:
+    def find_transfer_target(self, now: float) -> str:
         """Return a caught-up, recently heard voter, or an empty string."""
-        fit = [
+        candidates = [
             seat.name
-            for seat in progress_lib.voters(self._seats)
+            for seat in progress_lib.voting_seats(self._seats)
             if seat.name != self._name
-            and self.peers[seat.name].match == self._log.last_index
+            and self.peers[seat.name].match_index == self._log.last_index
             and now - self.peers[seat.name].acked_at
             < const.ELECTION_MIN_SECONDS
         ]
-        return min(fit, default="")
+        return min(candidates, default="")
 
-    def answered(
+    def on_reply(
         self, src: str, msg: messages.AppendReply | messages.InstallReply
     ) -> None:
         """Take in a follower's answer."""
         peer = self.peers.get(src)
         if peer is None:
             return
-        peer.acked(msg.round)
+        peer.record_ack(msg.round)
         peer.in_flight = False
         if isinstance(msg, messages.InstallReply):
-            peer.snapshot_held = msg.held
+            peer.snapshot_held_bytes = msg.held
             peer.snapshot_index = msg.idx
             return
         if msg.ok:
-            peer.match = max(peer.match, msg.match)
-            peer.next_index = max(peer.next_index, peer.match + 1)
+            peer.match_index = max(peer.match_index, msg.match)
+            peer.next_index = max(peer.next_index, peer.match_index + 1)
             return
         # A follower that lost its tail since must be fed from there again.
-        peer.match = min(peer.match, msg.match)
+        peer.match_index = min(peer.match_index, msg.match)
         peer.next_index = max(min(msg.match + 1, peer.next_index - 1), 1)
 
     def tick(
@@ -114,7 +114,7 @@
                 out += self._send(name, peer, now, term, commit, snapshot)
         return out
 
-    def send_due(
+    def send_pending(
         self,
         now: float,
         term: int,
@@ -139,14 +139,16 @@
         snapshot: messages.Snapshot,
     ) -> list[Any]:
         self._round += 1
-        peer.sent(self._round, now)
+        peer.record_sent(self._round, now)
         if peer.next_index <= self._log.base_index:
-            msg = self._chunk(peer, term, snapshot)
+            msg = self._next_snapshot_chunk(peer, term, snapshot)
             peer.in_flight = msg is not None
             if msg is not None:
                 return [core.Send(dst=name, msg=msg)]
         prev = peer.next_index - 1
-        entries = () if peer.in_flight else self._log.batch(peer.next_index)
+        entries = (
+            () if peer.in_flight else self._log.next_batch(peer.next_index)
+        )
         peer.in_flight = peer.in_flight or bool(entries)
         append = messages.Append(
             term=term,
@@ -159,21 +161,21 @@
         )
         return [core.Send(dst=name, msg=append)]
 
-    def _chunk(
+    def _next_snapshot_chunk(
         self,
         peer: progress_lib.Progress,
         term: int,
         snapshot: messages.Snapshot,
     ) -> messages.Install | None:
         if peer.snapshot_index != snapshot.idx:
-            peer.snapshot_held = 0
-        if peer.snapshot_held >= len(snapshot.data) > 0:
+            peer.snapshot_held_bytes = 0
+        if peer.snapshot_held_bytes >= len(snapshot.data) > 0:
             # The whole snapshot is held: go on with the log after it.
-            peer.snapshot_held = 0
-            peer.match = max(peer.match, snapshot.idx)
+            peer.snapshot_held_bytes = 0
+            peer.match_index = max(peer.match_index, snapshot.idx)
             peer.next_index = snapshot.idx + 1
             return None
-        start = peer.snapshot_held
+        start = peer.snapshot_held_bytes
         end = start + const.SNAPSHOT_CHUNK_BYTES
         return messages.Install(
             term=term,
--- a/jasperweir/components/quorum/state.py
+++ b/jasperweir/components/quorum/state.py
@@ -41,7 +41,7 @@
         self.may_vote = not recovered.tail_uncertain
         self.reload_seats()
 
-    def seat(self, name: str) -> messages.Seat | None:
+    def find_seat(self, name: str) -> messages.Seat | None:
         """Return the seat held under a name."""
         for seat in self.seats.seats:
             if seat.name == name:
@@ -51,52 +51,52 @@
     @property
     def is_voting(self) -> bool:
         """Whether this disk holds a voting seat."""
-        seat = self.seat(self.name)
+        seat = self.find_seat(self.name)
         return bool(seat and seat.voting and seat.disk == self.disk)
 
-    def save_meta(self) -> actions.SaveMeta:
+    def save_meta_action(self) -> actions.SaveMeta:
         """Return the action that syncs term and vote."""
         meta = messages.Meta(term=self.term, voted_for=self.voted_for)
         return actions.SaveMeta(meta=meta)
 
-    def commit_to(self, index: int) -> Actions:
+    def advance_commit(self, index: int) -> Actions:
         """Move the commit index and return the entries it passes."""
-        entries = self.log.between(self.commit + 1, index)
+        entries = self.log.entries_between(self.commit + 1, index)
         self.commit = index
         return [actions.Commit(entries=entries)]
 
-    def term_committed(self) -> bool:
+    def has_committed_in_term(self) -> bool:
         """Tell whether an entry of the own term is committed."""
         return self.log.term_at(self.commit) == self.term
 
-    def up_to_date(self, last_index: int, last_term: int) -> bool:
+    def is_log_up_to_date(self, last_index: int, last_term: int) -> bool:
         """Tell whether another log holds all that this one holds."""
-        mine = (self.log.last_term, self.log.last_index)
-        return (last_term, last_index) >= mine
+        own_last = (self.log.last_term, self.log.last_index)
+        return (last_term, last_index) >= own_last
 
-    def knows(self, name: str, disk: str) -> bool:
+    def holds_seat(self, name: str, disk: str) -> bool:
         """Tell whether a name holds a seat with that very disk."""
-        seat = self.seat(name)
+        seat = self.find_seat(name)
         return seat is not None and seat.disk == disk
 
     def other_voters(self) -> list[str]:
         """Return the names of the other voting members."""
         return [
             seat.name
-            for seat in progress_lib.voters(self.seats)
+            for seat in progress_lib.voting_seats(self.seats)
             if seat.name != self.name
         ]
 
     def is_majority(self, names: set[str]) -> bool:
         """Tell whether some members are a majority of the voting ones."""
-        voting = {seat.name for seat in progress_lib.voters(self.seats)}
-        return len(names & voting) >= progress_lib.majority(len(voting))
+        voting = {seat.name for seat in progress_lib.voting_seats(self.seats)}
+        return len(names & voting) >= progress_lib.majority_size(len(voting))
 
     def reload_seats(self) -> None:
         """Find the newest seats in snapshot and log."""
         self.seats = self.snapshot.seats
         self.seats_index = self.snapshot.idx
-        for entry in self.log.between(
+        for entry in self.log.entries_between(
             self.log.base_index + 1, self.log.last_index
         ):
             if entry.kind == const.KIND_SEATS:
@@ -106,7 +106,7 @@
     def seats_at(self, index: int) -> messages.Seats:
         """Return the seats that were in force at an index."""
         seats = self.snapshot.seats
-        for entry in self.log.between(self.log.base_index + 1, index):
+        for entry in self.log.entries_between(self.log.base_index + 1, index):
             if entry.kind == const.KIND_SEATS:
                 seats = codec.unpack(entry.data, messages.Seats)
         return seats
--- a/jasperweir/components/quorum/storage.py
+++ b/jasperweir/components/quorum/storage.py
@@ -17,7 +17,7 @@
 SNAPSHOT_FILE = "snapshot"
 LOG_FILE = "log"
 COMMIT_FILE = "commit"
-SIDE_FILE = "side"
+SOFT_STATE_FILE = "side"
 _HEADER = struct.Struct("<IQ")
 _MAX_RECORD = codec.MAX_FRAME_BYTES * 16
 
@@ -25,7 +25,7 @@
 T = TypeVar("T")
 
 
-class Scan(NamedTuple):
+class ScanResult(NamedTuple):
     """Result of reading a log file from its start."""
 
     entries: tuple[messages.Entry, ...]
@@ -34,12 +34,12 @@
     tail_uncertain: bool
 
 
-def frame(data: bytes) -> bytes:
+def encode_record(data: bytes) -> bytes:
     """Return a record: length, checksum, data."""
     return _HEADER.pack(len(data), hashing.checksum(data)) + data
 
 
-def scan(raw: bytes, *, synced_is_intact: bool = False) -> Scan:
+def scan_log(raw: bytes, *, synced_is_intact: bool = False) -> ScanResult:
     """Read records until the end or the torn tail.
 
     With ``synced_is_intact`` the first bad record, or one that does not
@@ -61,19 +61,23 @@
         if data is None:
             break
         entry = codec.unpack(data, messages.Entry)
-        if synced_is_intact and entries and not _follows(entries[-1], entry):
+        if (
+            synced_is_intact
+            and entries
+            and not _is_successor(entries[-1], entry)
+        ):
             break
         offsets.append(pos)
         entries.append(entry)
         pos += _HEADER.size + len(data)
     if synced_is_intact:
-        return Scan(tuple(entries), tuple(offsets), pos, False)
-    if pos < len(raw) and _good_record_after(raw, pos):
+        return ScanResult(tuple(entries), tuple(offsets), pos, False)
+    if pos < len(raw) and _has_intact_record_after(raw, pos):
         raise exceptions.LogCorruptError(
             f"log record at byte {pos} is damaged but later ones are intact"
         )
-    uncertain = pos < len(raw) and _complete(raw, pos)
-    return Scan(
+    uncertain = pos < len(raw) and _is_complete(raw, pos)
+    return ScanResult(
         entries=tuple(entries),
         offsets=tuple(offsets),
         valid_bytes=pos,
@@ -81,7 +85,7 @@
     )
 
 
-def _follows(before: messages.Entry, entry: messages.Entry) -> bool:
+def _is_successor(before: messages.Entry, entry: messages.Entry) -> bool:
     return entry.idx == before.idx + 1 and entry.term >= before.term
 
 
@@ -97,7 +101,7 @@
     return data if hashing.checksum(data) == digest else None
 
 
-def _good_record_after(raw: bytes, pos: int) -> bool:
+def _has_intact_record_after(raw: bytes, pos: int) -> bool:
     """Tell whether any intact record starts after a damaged one."""
     return any(
         _record_at(raw, start) is not None
@@ -105,7 +109,7 @@
     )
 
 
-def _complete(raw: bytes, pos: int) -> bool:
+def _is_complete(raw: bytes, pos: int) -> bool:
     """Tell whether the damaged record has all the bytes it claims.
 
     A damaged length field can claim anything, so a tail that holds more than
@@ -161,7 +165,7 @@
 
     def save_meta(self, meta: messages.Meta) -> None:
         """Replace term and vote, synced."""
-        self._replace(META_FILE, frame(codec.pack(meta)))
+        self._replace(META_FILE, encode_record(codec.pack(meta)))
 
     def save_entries(
         self, first: int, entries: tuple[messages.Entry, ...]
@@ -171,7 +175,7 @@
             self._truncate(first)
             chunks = []
             for entry in entries:
-                record = frame(codec.pack(entry))
+                record = encode_record(codec.pack(entry))
                 self._offsets[entry.idx] = self._size
                 self._size += len(record)
                 chunks.append(record)
@@ -186,8 +190,8 @@
         kept: tuple[messages.Entry, ...],
     ) -> None:
         """Replace snapshot, then the log, each atomically and synced."""
-        self._replace(SNAPSHOT_FILE, frame(codec.pack(snapshot)))
-        records = [frame(codec.pack(entry)) for entry in kept]
+        self._replace(SNAPSHOT_FILE, encode_record(codec.pack(snapshot)))
+        records = [encode_record(codec.pack(entry)) for entry in kept]
         self._replace(LOG_FILE, b"".join(records))
         self._open_log()
         self._offsets = {}
@@ -196,27 +200,27 @@
             self._offsets[entry.idx] = self._size
             self._size += len(record)
 
-    def note_commit(self, index: int) -> None:
+    def save_commit_hint(self, index: int) -> None:
         """Write down how far the log is committed.
 
         It is only a hint for a quicker restart: what it covers was synced
         before it counted as committed, so an old or lost hint is harmless.
         """
-        self._replace(COMMIT_FILE, frame(codec.pack(index)))
+        self._replace(COMMIT_FILE, encode_record(codec.pack(index)))
 
     def note_side(self, data: bytes) -> None:
         """Write down soft state for a quicker restart."""
-        self._replace(SIDE_FILE, frame(data))
+        self._replace(SOFT_STATE_FILE, encode_record(data))
 
     def side(self) -> bytes:
         """Return the soft state, empty if there is none that is whole."""
-        return self._read_soft(SIDE_FILE)
+        return self._read_optional(SOFT_STATE_FILE)
 
-    def _commit_hint(self) -> int:
-        data = self._read_soft(COMMIT_FILE)
+    def _load_commit_hint(self) -> int:
+        data = self._read_optional(COMMIT_FILE)
         return int(codec.unpack(data, int)) if data else 0
 
-    def _read_soft(self, name: str) -> bytes:
+    def _read_optional(self, name: str) -> bytes:
         path = self._folder / name
         if not path.exists():
             return b""
@@ -224,14 +228,15 @@
         return _record_at(path.read_bytes(), 0) or b""
 
     def _recover(self) -> messages.Recovered:
-        disk = self._identity()
-        meta = self._read(META_FILE, messages.Meta) or messages.Meta()
+        disk = self._load_identity()
+        meta = self._read_record(META_FILE, messages.Meta) or messages.Meta()
         snapshot = (
-            self._read(SNAPSHOT_FILE, messages.Snapshot) or messages.Snapshot()
+            self._read_record(SNAPSHOT_FILE, messages.Snapshot)
+            or messages.Snapshot()
         )
         self._open_log()
         raw = (self._folder / LOG_FILE).read_bytes()
-        result = scan(raw, synced_is_intact=self._synced_is_intact)
+        result = scan_log(raw, synced_is_intact=self._synced_is_intact)
         if result.valid_bytes < len(raw):
             os.ftruncate(self._fd, result.valid_bytes)
             os.fsync(self._fd)
@@ -248,10 +253,10 @@
             snapshot=snapshot,
             entries=result.entries,
             tail_uncertain=result.tail_uncertain,
-            commit_hint=self._commit_hint(),
+            commit_hint=self._load_commit_hint(),
         )
 
-    def _identity(self) -> str:
+    def _load_identity(self) -> str:
         path = self._folder / IDENTITY_FILE
         if path.exists():
             return path.read_text(encoding="ascii").strip()
@@ -264,7 +269,7 @@
         self._replace(IDENTITY_FILE, disk.encode("ascii"))
         return disk
 
-    def _read(self, name: str, kind: type[T]) -> T | None:
+    def _read_record(self, name: str, kind: type[T]) -> T | None:
         path = self._folder / name
         if not path.exists():
             return None
--- a/jasperweir/components/quorum/voter.py
+++ b/jasperweir/components/quorum/voter.py
@@ -6,10 +6,10 @@
 from jasperweir import core
 from jasperweir.components.quorum import actions
 from jasperweir.components.quorum import const
-from jasperweir.components.quorum import following
+from jasperweir.components.quorum import follower
 from jasperweir.components.quorum import messages
 from jasperweir.components.quorum import progress as progress_lib
-from jasperweir.components.quorum import replication
+from jasperweir.components.quorum import replicator
 from jasperweir.components.quorum import state as state_lib
 from jasperweir.helpers import codec
 
@@ -38,7 +38,7 @@
             for 6.6 s, five have it on one.
     """
 
-    _replicator: replication.Replicator | None = None
+    _replicator: replicator.Replicator | None = None
 
     def __init__(
         self,
@@ -51,16 +51,16 @@
         super().__init__(name=name, recovered=recovered)
         self.role = FOLLOWER
         self.leader = ""
-        self.waiting: dict[str, messages.Hello] = {}
+        self.seat_requests: dict[str, messages.Hello] = {}
         self._rng = rng
         self._votes: set[str] = set()
-        self._prevoting = False
-        self._heard_at = float("-inf")
+        self._is_prevoting = False
+        self._leader_heard_at = float("-inf")
         self._started_at = now
-        self._follower = following.Follower(state=self)
-        self._handing_over = False
+        self._follower = follower.Follower(state=self)
+        self._is_transferring = False
         self.wanted_voters = 0
-        self._deadline = now + self._first_wait_s()
+        self._election_due_at = now + self._initial_election_delay_s()
 
     # Queries.
 
@@ -68,15 +68,15 @@
         """Find the newest seats; a leader feeds them from now on."""
         super().reload_seats()
         if self._replicator is not None:
-            self._replicator.reseat(self.seats)
+            self._replicator.update_seats(self.seats)
 
     def has_lease(self, now: float) -> bool:
         """Tell whether no other leader can exist at this moment."""
         if self.role != LEADER or self._replicator is None:
             return False
-        if self._handing_over:
+        if self._is_transferring:
             return False
-        heard = self._replicator.majority_heard_at(now)
+        heard = self._replicator.majority_acked_at(now)
         return now < heard + const.LEASE_SECONDS
 
     def read_index(self, now: float) -> int | None:
@@ -84,16 +84,16 @@
 
         Only a leader with a lease that has committed in its own term knows.
         """
-        if not self.has_lease(now) or not self.term_committed():
+        if not self.has_lease(now) or not self.has_committed_in_term():
             return None
         return self.commit
 
     @property
-    def led_since(self) -> float:
+    def leader_since(self) -> float:
         """When this voter took the lead, minus infinity if it does not."""
         if self._replicator is None:
             return float("-inf")
-        return self._replicator.led_since
+        return self._replicator.leader_since
 
     def progress_of(self, name: str) -> progress_lib.Progress | None:
         """Return a member's replication state, on the leader only."""
@@ -141,16 +141,16 @@
         no leader; newer ones wait for one.
         """
         index = min(index, self.log.last_index)
-        return self.commit_to(index) if index > self.commit else []
+        return self.advance_commit(index) if index > self.commit else []
 
     def tick(self, now: float) -> Actions:
         """Let time pass: heartbeats, lease loss and elections."""
         if self.role == LEADER:
             return self._tick_leader(now)
-        if now < self._deadline or not self.is_voting:
+        if now < self._election_due_at or not self.is_voting:
             return []
         if not self.may_vote:
-            self._rearm(now)
+            self._reset_election_timer(now)
             return []
         return self._start_prevote(now)
 
@@ -158,7 +158,7 @@
         """Handle a message from another member."""
         match msg:
             case messages.Hello():
-                self.waiting[src] = msg
+                self.seat_requests[src] = msg
                 return []
             case messages.PreVote():
                 return self._on_prevote(src, msg, now)
@@ -203,7 +203,7 @@
         self, seats: messages.Seats, now: float
     ) -> tuple[int, Actions]:
         """Propose new seats, refused while another change is uncommitted."""
-        if self.seats_index > self.commit or not self.term_committed():
+        if self.seats_index > self.commit or not self.has_committed_in_term():
             return 0, []
         return self.propose(codec.pack(seats), now, kind=const.KIND_SEATS)
 
@@ -218,68 +218,72 @@
             idx=index, term=term, seats=self.seats_at(index), data=data
         )
         self.log.compact(index, term)
-        kept = self.log.between(index + 1, self.log.last_index)
+        kept = self.log.entries_between(index + 1, self.log.last_index)
         return [actions.SaveSnapshot(snapshot=self.snapshot, kept=kept)]
 
     def hand_over(self, now: float) -> Actions:
         """Give the lead to the most advanced voter, if it is caught up."""
         if self.role != LEADER or self._replicator is None:
             return []
-        target = self._replicator.best_successor(now)
+        target = self._replicator.find_transfer_target(now)
         if not target:
             return []
         # The successor may lead at any moment from here on, so the lease of
         # this term ends for good, even if the message is late.
-        self._handing_over = True
-        self._rearm(now)
+        self._is_transferring = True
+        self._reset_election_timer(now)
         return [core.Send(dst=target, msg=messages.TimeoutNow(term=self.term))]
 
     # Elections.
 
     def _start_prevote(self, now: float) -> Actions:
-        self._rearm(now, const.START_RETRY_SECONDS)
+        self._reset_election_timer(now, const.START_RETRY_SECONDS)
         self.leader = ""
-        self._prevoting = True
+        self._is_prevoting = True
         self._votes = {self.name}
         if self.is_majority(self._votes):
             return self._start_election(now, transfer=False)
-        ask = messages.PreVote(
+        request = messages.PreVote(
             term=self.term + 1,
             last_index=self.log.last_index,
             last_term=self.log.last_term,
             disk=self.disk,
         )
-        return [core.Send(dst=name, msg=ask) for name in self.other_voters()]
+        return [
+            core.Send(dst=name, msg=request) for name in self.other_voters()
+        ]
 
     def _start_election(self, now: float, *, transfer: bool) -> Actions:
-        self._rearm(now, const.START_ELECTION_SECONDS)
-        self._prevoting = False
+        self._reset_election_timer(now, const.START_ELECTION_SECONDS)
+        self._is_prevoting = False
         self.term += 1
         self.voted_for = self.name
         self._votes = {self.name}
-        out: Actions = [self.save_meta()]
-        out += self._become(CANDIDATE, "")
+        out: Actions = [self.save_meta_action()]
+        out += self._set_role(CANDIDATE, "")
         if self.is_majority(self._votes):
-            return out + self._lead(now)
-        ask = messages.Vote(
+            return out + self._become_leader(now)
+        request = messages.Vote(
             term=self.term,
             last_index=self.log.last_index,
             last_term=self.log.last_term,
             disk=self.disk,
             transfer=transfer,
         )
-        out += [core.Send(dst=name, msg=ask) for name in self.other_voters()]
+        out += [
+            core.Send(dst=name, msg=request) for name in self.other_voters()
+        ]
         return out
 
     def _on_prevote(
         self, src: str, msg: messages.PreVote, now: float
     ) -> Actions:
         granted = (
-            self.knows(src, msg.disk)
+            self.holds_seat(src, msg.disk)
             and self.may_vote
             and msg.term > self.term
-            and not self._leader_alive(now)
-            and self.up_to_date(msg.last_index, msg.last_term)
+            and not self._is_leader_alive(now)
+            and self.is_log_up_to_date(msg.last_index, msg.last_term)
         )
         reply = messages.PreVoteReply(
             term=msg.term if granted else self.term,
@@ -293,11 +297,11 @@
     ) -> Actions:
         if not msg.granted:
             if msg.term > self.term:
-                return self._follow(msg.term, "", now)
+                return self._become_follower(msg.term, "", now)
             return []
-        if not self._prevoting or msg.term != self.term + 1:
+        if not self._is_prevoting or msg.term != self.term + 1:
             return []
-        if not self.knows(src, msg.disk):
+        if not self.holds_seat(src, msg.disk):
             return []
         self._votes.add(src)
         if not self.is_majority(self._votes):
@@ -305,24 +309,24 @@
         return self._start_election(now, transfer=False)
 
     def _on_vote(self, src: str, msg: messages.Vote, now: float) -> Actions:
-        if not self.knows(src, msg.disk):
+        if not self.holds_seat(src, msg.disk):
             return []
-        if self._leader_alive(now) and not msg.transfer:
+        if self._is_leader_alive(now) and not msg.transfer:
             # A live leader is not to be deposed by a member that lost it.
             return []
         out: Actions = []
         if msg.term > self.term:
-            out += self._follow(msg.term, "", now)
+            out += self._become_follower(msg.term, "", now)
         granted = (
             msg.term == self.term
             and self.may_vote
             and self.voted_for in ("", src)
-            and self.up_to_date(msg.last_index, msg.last_term)
+            and self.is_log_up_to_date(msg.last_index, msg.last_term)
         )
         if granted:
             self.voted_for = src
-            self._rearm(now)
-            out.append(self.save_meta())
+            self._reset_election_timer(now)
+            out.append(self.save_meta_action())
         reply = messages.VoteReply(
             term=self.term, granted=granted, disk=self.disk
         )
@@ -333,22 +337,22 @@
         self, src: str, msg: messages.VoteReply, now: float
     ) -> Actions:
         if msg.term > self.term:
-            return self._follow(msg.term, "", now)
+            return self._become_follower(msg.term, "", now)
         if self.role != CANDIDATE or msg.term != self.term:
             return []
-        if not msg.granted or not self.knows(src, msg.disk):
+        if not msg.granted or not self.holds_seat(src, msg.disk):
             return []
         self._votes.add(src)
         if not self.is_majority(self._votes):
             return []
-        return self._lead(now)
+        return self._become_leader(now)
 
-    def _lead(self, now: float) -> Actions:
-        self._replicator = replication.Replicator(
+    def _become_leader(self, now: float) -> Actions:
+        self._replicator = replicator.Replicator(
             name=self.name, log=self.log, now=now
         )
-        self._replicator.reseat(self.seats)
-        out = self._become(LEADER, self.name)
+        self._replicator.update_seats(self.seats)
+        out = self._set_role(LEADER, self.name)
         entry = messages.Entry(
             idx=self.log.last_index + 1,
             term=self.term,
@@ -363,15 +367,15 @@
 
     def _tick_leader(self, now: float) -> Actions:
         assert self._replicator is not None
-        if self._replicator.quorum_lost(now):
+        if self._replicator.has_lost_quorum(now):
             # Check-quorum: an isolated leader stops believing in itself.
-            return self._follow(self.term, "", now)
-        if self._handing_over and now >= self._deadline:
-            return self._follow(self.term, "", now)
+            return self._become_follower(self.term, "", now)
+        if self._is_transferring and now >= self._election_due_at:
+            return self._become_follower(self.term, "", now)
         out = self._replicator.tick(now, self.term, self.commit, self.snapshot)
-        return out + self._promote(now)
+        return out + self._promote_learner(now)
 
-    def _promote(self, now: float) -> Actions:
+    def _promote_learner(self, now: float) -> Actions:
         assert self._replicator is not None
         if self._has_enough_voters(now):
             return []
@@ -381,8 +385,8 @@
             peer = self._replicator.peers.get(seat.name)
             if peer is None:
                 continue
-            lag = self.log.last_index - peer.match
-            if peer.match == 0 or lag > const.PROMOTE_LAG_ENTRIES:
+            lag = self.log.last_index - peer.match_index
+            if peer.match_index == 0 or lag > const.PROMOTE_LAG_ENTRIES:
                 continue
             if now - peer.acked_at > const.ELECTION_MIN_SECONDS:
                 # With a voter that is cut off a majority may be out of reach.
@@ -408,7 +412,7 @@
         peer = self.progress_of(name)
         if peer is None:
             return False
-        heard_at = max(peer.acked_at, self.led_since)
+        heard_at = max(peer.acked_at, self.leader_since)
         return now - heard_at > const.REPLACE_SECONDS
 
     def _on_replication_reply(
@@ -418,26 +422,26 @@
         now: float,
     ) -> Actions:
         if msg.term > self.term:
-            return self._follow(msg.term, "", now)
+            return self._become_follower(msg.term, "", now)
         if self.role != LEADER or msg.term != self.term:
             return []
-        if self._replicator is None or not self.knows(src, msg.disk):
+        if self._replicator is None or not self.holds_seat(src, msg.disk):
             return []
-        self._replicator.answered(src, msg)
+        self._replicator.on_reply(src, msg)
         return self._advance_and_send(now)
 
     def _advance_and_send(self, now: float) -> Actions:
         assert self._replicator is not None
-        index = self._replicator.committable(self.is_voting)
+        index = self._replicator.majority_match_index(self.is_voting)
         out: Actions = []
         # Only an entry of the own term may be counted; older ones follow.
         if index > self.commit and self.log.term_at(index) == self.term:
-            out += self.commit_to(index)
-        out += self._replicator.send_due(
+            out += self.advance_commit(index)
+        out += self._replicator.send_pending(
             now, self.term, self.commit, self.snapshot
         )
-        if not self.seat(self.name) and self.term_committed():
-            out += self._follow(self.term, "", now)
+        if not self.find_seat(self.name) and self.has_committed_in_term():
+            out += self._become_follower(self.term, "", now)
         return out
 
     # Following.
@@ -452,31 +456,31 @@
             return [core.Send(dst=src, msg=reply)]
         out: Actions = []
         if msg.term > self.term or self.role != FOLLOWER:
-            out += self._follow(msg.term, src, now)
+            out += self._become_follower(msg.term, src, now)
         elif self.leader != src:
             self.leader = src
             out.append(self._role_changed())
-        self._heard_at = now
-        self._rearm(now)
+        self._leader_heard_at = now
+        self._reset_election_timer(now)
         if isinstance(msg, messages.Install):
             return out + self._follower.on_install(src, msg)
         return out + self._follower.on_append(src, msg)
 
     # Shared steps.
 
-    def _follow(self, term: int, leader: str, now: float) -> Actions:
+    def _become_follower(self, term: int, leader: str, now: float) -> Actions:
         out: Actions = []
         if term > self.term:
             self.term = term
             self.voted_for = ""
-            out.append(self.save_meta())
-        self._prevoting = False
-        self._handing_over = False
+            out.append(self.save_meta_action())
+        self._is_prevoting = False
+        self._is_transferring = False
         self._replicator = None
-        self._rearm(now)
-        return out + self._become(FOLLOWER, leader)
+        self._reset_election_timer(now)
+        return out + self._set_role(FOLLOWER, leader)
 
-    def _become(self, role: str, leader: str) -> Actions:
+    def _set_role(self, role: str, leader: str) -> Actions:
         if (role, leader) == (self.role, self.leader):
             return []
         self.role = role
@@ -488,15 +492,15 @@
             role=self.role, term=self.term, leader=self.leader
         )
 
-    def _leader_alive(self, now: float) -> bool:
+    def _is_leader_alive(self, now: float) -> bool:
         if self.role == LEADER:
             return self.has_lease(now)
         # A restarted voter may have promised a lease that it forgot.
         if now < self._started_at + const.RESTART_SECONDS:
             return True
-        return now < self._heard_at + const.ELECTION_MIN_SECONDS
+        return now < self._leader_heard_at + const.ELECTION_MIN_SECONDS
 
-    def _first_wait_s(self) -> float:
+    def _initial_election_delay_s(self) -> float:
         """Return how long a voter that has just started waits for a leader.
 
         Whoever led before goes first, as far as this voter's last vote tells.
@@ -505,16 +509,16 @@
         if self.voted_for in voters:
             voters.remove(self.voted_for)
             voters.insert(0, self.voted_for)
-        place = voters.index(self.name)
-        return const.RESTART_SECONDS + place * const.STAGGER_SECONDS
+        rank = voters.index(self.name)
+        return const.RESTART_SECONDS + rank * const.STAGGER_SECONDS
 
-    def _starts(self, now: float) -> bool:
+    def _is_starting(self, now: float) -> bool:
         """Tell whether it has started just now and heard no leader yet."""
-        if self._heard_at > float("-inf"):
+        if self._leader_heard_at > float("-inf"):
             return False
-        return now - self._started_at < const.START_RETRIES_SECONDS
+        return now - self._started_at < const.START_WINDOW_SECONDS
 
-    def _rearm(
+    def _reset_election_timer(
         self, now: float, at_start: tuple[float, float] = _ELECTION_SECONDS
     ) -> None:
         """Set when an election is due.
@@ -523,5 +527,5 @@
             now: Monotonic seconds.
             at_start: Range of the wait of one that has just started.
         """
-        least, most = at_start if self._starts(now) else _ELECTION_SECONDS
-        self._deadline = now + self._rng.uniform(least, most)
+        least, most = at_start if self._is_starting(now) else _ELECTION_SECONDS
+        self._election_due_at = now + self._rng.uniform(least, most)
--- a/jasperweir/daemons/control.py
+++ b/jasperweir/daemons/control.py
@@ -181,7 +181,7 @@
         )
 
     def _send(self, act: core.Send) -> None:
-        seat = self.controller.voter.seat(act.dst)
+        seat = self.controller.voter.find_seat(act.dst)
         if seat is not None:
             self.host.link.learn(seat.name, seat.addr)
         self.host.send_all([act], self.controller.gossip.roster)
--- a/jasperweir/daemons/door.py
+++ b/jasperweir/daemons/door.py
@@ -91,7 +91,7 @@
             "commit": ctl.voter.commit,
             "log_entries": len(ctl.voter.log),
             "seats": [list(s) for s in ctl.voter.seats.seats],
-            "waiting_for_seat": sorted(ctl.voter.waiting),
+            "waiting_for_seat": sorted(ctl.voter.seat_requests),
             "roll": roll._asdict() if roll else None,
             "view": ctl.machine.view()._asdict(),
             "places": {
--- a/jasperweir/daemons/site_control.py
+++ b/jasperweir/daemons/site_control.py
@@ -22,7 +22,7 @@
 from jasperweir.components.quarantine import messages as quarantine_messages
 from jasperweir.components.quarantine import spread as spread_lib
 from jasperweir.components.quorum import actions
-from jasperweir.components.quorum import no_storage
+from jasperweir.components.quorum import null_storage
 from jasperweir.components.quorum import storage as storage_lib
 from jasperweir.components.quorum import voter as voter_lib
 from jasperweir.daemons import control_calls
@@ -188,7 +188,7 @@
         if noted == self._noted:
             return
         try:
-            self._storage.note_commit(node.voter.commit)
+            self._storage.save_commit_hint(node.voter.commit)
             self._storage.note_side(node.roster.side_state(self._host.now()))
         except exceptions.StorageError as exc:
             # Only a restart would take longer without it.
@@ -375,9 +375,9 @@
 
 def _storage(
     folder: str,
-) -> storage_lib.DiskStorage | no_storage.NoStorage:
+) -> storage_lib.DiskStorage | null_storage.NullStorage:
     if not folder:
-        return no_storage.NoStorage()
+        return null_storage.NullStorage()
     return storage_lib.DiskStorage(
         folder=pathlib.Path(folder), synced_is_intact=True
     )
