--- a/features/harness/quorum.py
+++ b/features/harness/quorum.py
@@ -1,4 +1,4 @@
-"""Voters on a virtual clock with a lossy network and breakable disks."""
+"""Cluster of voters on a virtual clock with fault injection."""
 
 import collections
 import random
@@ -12,7 +12,7 @@
 
 
 class FakeDisk:
-    """What a voter has synced; ``lose`` makes it a new, empty disk."""
+    """Synced data of a voter; ``wipe`` replaces it with a new, empty disk."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -49,9 +49,9 @@
 
 
 class Net:
-    """Voters, their disks and the messages between them.
+    """Voters, their disks and a network that can lose and reorder messages.
 
-    Every invariant is checked after each performed action.
+    All invariants are checked after each performed action.
     """
 
     def __init__(self, names: list[str], seed: int = 0) -> None:
@@ -176,7 +176,7 @@
             self.run(0.2)
             if self.leader():
                 return self.leader()
-        raise AssertionError("no leader")
+        raise AssertionError(f"no leader within {seconds} s")
 
     def found(self, first: str) -> None:
         self.perform(first, self.voters[first].bootstrap("a"))
@@ -203,7 +203,7 @@
             found = lead.find_seat(name)
             if found and found.voting and lead.seats_index <= lead.commit:
                 return
-        raise AssertionError(f"{name} got no vote")
+        raise AssertionError(f"{name} did not become a voter")
 
     def propose(self, data: bytes, name: str = "") -> int:
         name = name or self.leader()
--- a/features/quorum.feature
+++ b/features/quorum.feature
@@ -1,4 +1,4 @@
-Feature: The replicated log keeps what it has accepted
+Feature: The replicated log keeps every accepted entry
 
   Scenario: A leader is elected and entries reach every voter
     Given 3 voters
@@ -25,16 +25,16 @@
     And a follower loses its disk
     And the leader is killed
     And 10 seconds pass
-    Then nobody leads
+    Then there is no leader
 
-  Scenario: Wiped voters found no new log
+  Scenario: Wiped voters create no new log
     Given 3 voters
     When "one" and "two" are proposed
     And all voters lose their disks
     And 10 seconds pass
-    Then nobody leads
+    Then there is no leader
 
-  Scenario: A lost voter is replaced and a second loss right after is survived
+  Scenario: The cluster survives two more losses after a lost voter is replaced
     Given 5 voters
     When "one" and "two" are proposed
     And a follower loses its disk
@@ -44,26 +44,26 @@
     And "three" and "four" are proposed
     Then every voter has applied "three" and "four"
 
-  Scenario: A voter whose synced tail was damaged has no say until caught up
+  Scenario: A voter with a corrupt synced tail does not vote until caught up
     Given 3 voters
     When the leader is cut off from one follower
     And "one" and "two" are proposed
     And the other follower restarts with a damaged tail
     And the leader is killed
-    And all cuts heal
+    And all partitions heal
     And 10 seconds pass
-    Then nobody leads
+    Then there is no leader
     When the killed voter restarts
     And 5 seconds pass
     Then every voter has applied "one" and "two"
 
-  Scenario: A planned stop hands the lead over at once
+  Scenario: A planned stop transfers leadership at once
     Given 3 voters
-    When the leader hands over
+    When the leader transfers its leadership
     And 1 seconds pass
     Then another voter leads
 
-  Scenario: A follower far behind catches up by snapshot
+  Scenario: A follower far behind catches up from a snapshot
     Given 3 voters
     When a follower is killed
     And 300 entries are proposed and compacted
@@ -71,9 +71,9 @@
     And 5 seconds pass
     Then every voter is at the same commit
 
-  Scenario Outline: Whatever fails at whichever action, nothing accepted is lost
+  Scenario Outline: A fault at any action of a change loses no accepted entry
     Given 3 voters
-    When every action of a change is hit by <fault>
+    When each action of a change is interrupted by <fault>
     Then no accepted entry was lost
 
     Examples:
@@ -87,17 +87,17 @@
       | reordering            |
       | loss                  |
 
-  Scenario Outline: Guard of the log
-    Then the log's guard holds: <guard>
+  Scenario Outline: Safety rules of the log
+    Then the safety rule holds: <rule>
 
     Examples:
-      | guard                                    |
+      | rule                                     |
       | a wiped disk's vote does not count       |
       | a live leader is not deposed             |
       | a stale log gets no vote                 |
-      | one vote a term                          |
-      | own term before commit                   |
-      | handing over ends the lease              |
+      | one vote per term                        |
+      | only entries of the own term commit      |
+      | transferring leadership ends the lease   |
 
   Scenario: Random schedules keep every invariant
     Then 40 random schedules of 60 events keep every invariant
--- a/features/recovery.feature
+++ b/features/recovery.feature
@@ -1,4 +1,4 @@
-Feature: After the loss of everything callers are served again soon
+Feature: Callers are served again soon after a full power loss
 
   Scenario: A VM that starts a little later than others is found soon after
     Given 6 VMs that are dark for 0.4 s when others look for them
@@ -54,10 +54,10 @@
     When 600 requests come
     Then 512 of them are kept and the others are refused at once
 
-  Scenario Outline: The lead is taken soon after all voters have started again
+  Scenario Outline: A leader is elected soon after all voters restart
     Given <count> voters that lose power and start again within 0.15 s, 60 times
-    Then at the median one leads within 0.65 s of the last start
-    And never later than 1.2 s after it
+    Then the median time from the last start to a leader is at most 0.65 s
+    And the longest is at most 1.2 s
 
     Examples:
       | count |
@@ -65,13 +65,13 @@
       | 5     |
       | 6     |
 
-  Scenario: The lead is taken soon though whoever led before has lost its disk
-    Given 5 voters that start again, and whoever led has lost its disk, 60 times
-    Then at the median one leads within 0.65 s of the last start
-    And never later than 1.2 s after it
+  Scenario: A leader is elected soon although the previous leader lost its disk
+    Given 5 voters that lose power and start again, the leader with a wiped disk, 60 times
+    Then the median time from the last start to a leader is at most 0.65 s
+    And the longest is at most 1.2 s
 
-  Scenario: A voter that has just started deposes no leader whom it promised a lease
-    Given 3 voters of which one does not hear the leader, and the other starts anew, 200 times
+  Scenario: A restarted voter does not depose a leader whose lease it acknowledged
+    Given 3 voters of which one is cut off from the leader and the other restarts repeatedly, for 200 seeds
     Then no two of them held a lease at the same time
 
   Scenario Outline: A crowd that is late already leaves room for those who come
--- a/features/steps/lead_steps.py
+++ b/features/steps/lead_steps.py
@@ -1,4 +1,4 @@
-"""Steps of elections after all voters have started again."""
+"""Steps on elections after a restart of voters."""
 
 import random
 import statistics
@@ -10,7 +10,7 @@
 
 
 def restart_all_voters(count, seed, *, wiped):
-    """Return the seconds from the last start to a lead after a power loss."""
+    """Return the seconds from the last restart to the election of a leader."""
     rng = random.Random(seed)
     net = quorum.Net([f"v{number}" for number in range(count)], seed)
     net.found("v0")
@@ -31,7 +31,7 @@
     started = net.now
     while not net.leader():
         net.run(quorum.STEP)
-        assert net.now - started < 10, "nobody leads"
+        assert net.now - started < 10, "no leader within 10 s"
     return net.now - started
 
 
@@ -46,8 +46,8 @@
 
 
 @given(
-    "{count:d} voters that start again, and whoever led has lost its disk,"
-    " {times:d} times"
+    "{count:d} voters that lose power and start again, the leader with a wiped"
+    " disk, {times:d} times"
 )
 def step_restart_wiped(context, count, times):
     context.waits = [
@@ -55,18 +55,20 @@
     ]
 
 
-@then("at the median one leads within {seconds:g} s of the last start")
+@then(
+    "the median time from the last start to a leader is at most {seconds:g} s"
+)
 def step_median(context, seconds):
     assert statistics.median(context.waits) <= seconds, context.waits
 
 
-@then("never later than {seconds:g} s after it")
+@then("the longest is at most {seconds:g} s")
 def step_never(context, seconds):
     assert max(context.waits) <= seconds, sorted(context.waits)
 
 
 def restart_voter_beside_partition(seed):
-    """Let the one voter that hears the leader start again and again."""
+    """Restart the only voter that hears the leader ten times in a row."""
     net = quorum.Net(["v0", "v1", "v2"], seed)
     net.found("v0")
     led = net.wait_for_leader()
@@ -76,13 +78,13 @@
     for _ in range(10):
         net.kill(hearing)
         net.start(hearing)
-        # Whether two hold a lease is checked at each step.
+        # The harness checks at each step that only one lease is held.
         net.run(quorum.STEP * random.Random(seed).choice((2, 5, 9)))
 
 
 @given(
-    "3 voters of which one does not hear the leader, and the other starts anew,"
-    " {times:d} times"
+    "3 voters of which one is cut off from the leader and the other restarts"
+    " repeatedly, for {times:d} seeds"
 )
 def step_restart_repeatedly(context, times):
     context.overlaps = []
--- a/features/steps/quorum_steps.py
+++ b/features/steps/quorum_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the replicated log."""
+"""Steps on elections, replication and seats of the replicated log."""
 
 import random
 
@@ -59,7 +59,7 @@
     net.start(name)
 
 
-@when("all cuts heal")
+@when("all partitions heal")
 def step_heal(context):
     context.net.cut.clear()
 
@@ -139,7 +139,7 @@
     context.net.start(context.killed)
 
 
-@when("the leader hands over")
+@when("the leader transfers its leadership")
 def step_transfer(context):
     net = context.net
     net.run(1)
@@ -168,7 +168,7 @@
     assert context.net.propose(b"x", context.old) == 0
 
 
-@then("nobody leads")
+@then("there is no leader")
 def step_no_leader(context):
     assert context.net.leader() == ""
 
@@ -187,33 +187,44 @@
     assert len(commits) == 3 and len(set(commits.values())) == 1, commits
 
 
+# Functions that inject a fault into a voter, for "kill" after some actions.
 FAULTS = {
-    "kill": lambda net, name, at: net.actions_until_crash.update({name: at}),
-    "kill and disk loss": lambda net, name, at: net.actions_until_crash.update(
-        {name: at}
+    "kill": lambda net, name, action: net.actions_until_crash.update(
+        {name: action}
     ),
-    "freeze": lambda net, name, at: net.frozen.add(name),
-    "cut": lambda net, name, at: net.cut_off(name),
-    "one-way cut": lambda net, name, at: net.cut.update(
+    "kill and disk loss": lambda net, name, action: (
+        net.actions_until_crash.update({name: action})
+    ),
+    "freeze": lambda net, name, action: net.frozen.add(name),
+    "cut": lambda net, name, action: net.cut_off(name),
+    "one-way cut": lambda net, name, action: net.cut.update(
         {(name, other) for other in net.disks if other != name}
     ),
-    "duplicates": lambda net, name, at: setattr(net, "duplicate_rate", 0.5),
-    "reordering": lambda net, name, at: setattr(net, "shuffle", True),
-    "loss": lambda net, name, at: setattr(net, "drop_rate", 0.3),
+    "duplicates": lambda net, name, action: setattr(net, "duplicate_rate", 0.5),
+    "reordering": lambda net, name, action: setattr(net, "shuffle", True),
+    "loss": lambda net, name, action: setattr(net, "drop_rate", 0.3),
 }
 
 
-def run_change_with_fault(fault, who, at):
-    """Hit one change at one action of one voter; return what was lost."""
-    net = quorum.Net(NAMES[:3], seed=at)
+def run_change_with_fault(fault, voter_number, action):
+    """Inject a fault at one action of one voter during a change.
+
+    Returns:
+        Entries that were lost or applied twice.
+    """
+    net = quorum.Net(NAMES[:3], seed=action)
     net.found("a")
     lead = net.wait_for_leader()
     accepted = []
     if net.propose(b"before"):
         net.run(1)
         accepted.append(b"before")
-    name = lead if who == 0 else sorted(set(net.voters) - {lead})[who - 1]
-    FAULTS[fault](net, name, at)
+    name = (
+        lead
+        if voter_number == 0
+        else sorted(set(net.voters) - {lead})[voter_number - 1]
+    )
+    FAULTS[fault](net, name, action)
     idx = net.propose(b"during")
     net.run(1.5)
     if (
@@ -235,18 +246,18 @@
     assert net.propose(b"after")
     net.run(2)
     lost = [d for d in [*accepted, b"after"] if d not in net.committed_ops()]
-    doubled = [
+    duplicated = [
         d for d in net.committed_ops() if net.committed_ops().count(d) > 1
     ]
-    return lost + doubled
+    return lost + duplicated
 
 
-@when("every action of a change is hit by {fault}")
+@when("each action of a change is interrupted by {fault}")
 def step_fault_at_every_action(context, fault):
     context.lost = []
-    for who in range(3):
-        for at in range(8):
-            context.lost += run_change_with_fault(fault, who, at)
+    for voter_number in range(3):
+        for action in range(8):
+            context.lost += run_change_with_fault(fault, voter_number, action)
 
 
 @then("no accepted entry was lost")
@@ -307,7 +318,7 @@
 
 
 def voter_without_peers(entries=(), meta=None, disk="a-disk"):
-    """Return a voter of three that has heard nobody, long after start."""
+    """Return one of three voters, long after its start and without a leader."""
     seats = messages.Seats(
         tuple(messages.Seat(n, f"{n}-disk", "x", True) for n in "abc"), "log"
     )
@@ -325,7 +336,7 @@
 
 
 def make_candidate(voter):
-    """Let a voter's time run out and its pre-vote succeed."""
+    """Let the election timeout expire and the pre-vote succeed."""
     voter.tick(0.0)
     yes = messages.PreVoteReply(voter.term + 1, True, "b-disk")
     voter.receive("b", yes, 0.0)
@@ -388,16 +399,16 @@
     assert not lead.has_lease(net.now)
 
 
-LOG_GUARDS = {
+SAFETY_RULES = {
     "a wiped disk's vote does not count": check_wiped_disk_vote_ignored,
     "a live leader is not deposed": check_live_leader_not_deposed,
     "a stale log gets no vote": check_stale_log_gets_no_vote,
-    "one vote a term": check_one_vote_per_term,
-    "own term before commit": check_own_term_before_commit,
-    "handing over ends the lease": check_transfer_ends_lease,
+    "one vote per term": check_one_vote_per_term,
+    "only entries of the own term commit": check_own_term_before_commit,
+    "transferring leadership ends the lease": check_transfer_ends_lease,
 }
 
 
-@then("the log's guard holds: {guard}")
-def step_check(context, guard):
-    LOG_GUARDS[guard]()
+@then("the safety rule holds: {rule}")
+def step_safety_rule(context, rule):
+    SAFETY_RULES[rule]()
--- a/features/steps/storage_steps.py
+++ b/features/steps/storage_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the voter's data folder."""
+"""Steps on the data folder of a voter."""
 
 import os
 import random
@@ -69,13 +69,13 @@
     flip_bit(context, -1)
 
 
-@then("opening the folder is refused as damaged")
+@then("opening the folder fails because the log is corrupt")
 def step_refused_as_damaged(context):
     try:
         open_folder(context)
     except exceptions.LogCorruptError:
         return
-    raise AssertionError("a damaged log was accepted")
+    raise AssertionError("a corrupt log was opened")
 
 
 @then("{count:d} entries are read and the tail is uncertain")
@@ -105,7 +105,7 @@
     context.log.write_bytes(raw)
 
 
-@then("a voter on it is at index {idx:d}")
+@then("a voter started from it has the last index {idx:d}")
 def step_voter_index(context, idx):
     _, found = open_folder(context)
     voter = voter_lib.Voter(
@@ -119,25 +119,25 @@
     (context.folder / storage.IDENTITY_FILE).unlink()
 
 
-@then("opening the folder is refused")
+@then("opening the folder fails")
 def step_refused(context):
     try:
         open_folder(context)
     except exceptions.StorageError:
         return
-    raise AssertionError("a log without identity was accepted")
+    raise AssertionError("a log without an identity was opened")
 
 
 @when("the disk is full")
 def step_disk_full(context):
     context.disk, _ = open_folder(context)
-    # Writing to this device fails as a full disk does.
+    # Every write to this device fails with ENOSPC.
     fd = os.open("/dev/full", os.O_WRONLY)
     os.dup2(fd, context.disk._fd)
     os.close(fd)
 
 
-@then("an append is refused and the earlier entries are kept")
+@then("an append fails and the earlier entries are kept")
 def step_append_refused(context):
     entry = messages.Entry(4, 1, "op", b"x")
     try:
@@ -146,4 +146,4 @@
         _, found = open_folder(context)
         assert found.entries == context.entries
         return
-    raise AssertionError("a full disk accepted an entry")
+    raise AssertionError("an append to a full disk succeeded")
--- a/features/storage.feature
+++ b/features/storage.feature
@@ -1,19 +1,19 @@
-Feature: A voter's disk tells a torn tail from damage
+Feature: A voter's storage distinguishes a torn tail from corruption
 
-  Scenario: What was synced is read back
+  Scenario: Synced entries are read back
     Given a data folder with 5 entries
     Then all 5 entries are read back under the same identity
 
-  Scenario: A torn tail at every byte is cut off
+  Scenario: A tail torn at any byte is cut off
     Given a data folder with 3 entries
     Then a log torn at any byte yields only whole entries
 
-  Scenario: A bit flipped in the middle is an error
+  Scenario: A flipped bit in the middle is an error
     Given a data folder with 3 entries
     When a bit of the first entry flips
-    Then opening the folder is refused as damaged
+    Then opening the folder fails because the log is corrupt
 
-  Scenario: A bit flipped in the last entry is reported
+  Scenario: A flipped bit in the last entry is reported
     Given a data folder with 3 entries
     When a bit of the last entry flips
     Then 2 entries are read and the tail is uncertain
@@ -26,14 +26,14 @@
   Scenario: A crash between snapshot and log loses nothing
     Given a data folder with 5 entries
     When only the snapshot file of index 4 is replaced
-    Then a voter on it is at index 5
+    Then a voter started from it has the last index 5
 
   Scenario: A log without an identity is refused
     Given a data folder with 3 entries
     When the identity file is removed
-    Then opening the folder is refused
+    Then opening the folder fails
 
-  Scenario: A full disk refuses cleanly
+  Scenario: An append to a full disk fails and keeps the earlier entries
     Given a data folder with 3 entries
     When the disk is full
-    Then an append is refused and the earlier entries are kept
+    Then an append fails and the earlier entries are kept
--- a/jasperweir/components/quorum/__init__.py
+++ b/jasperweir/components/quorum/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated log: the project's own consensus over a few voters with disks."""
+"""Replicated log: a Raft implementation for a few voters with disks."""
--- a/jasperweir/components/quorum/actions.py
+++ b/jasperweir/components/quorum/actions.py
@@ -1,4 +1,4 @@
-"""Actions that a voter asks of its driver, in order."""
+"""Actions that a voter returns and its driver performs in order."""
 
 from typing import NamedTuple
 
@@ -6,33 +6,33 @@
 
 
 class SaveMeta(NamedTuple):
-    """Sync term and vote before any later action."""
+    """Write the term and the vote, and sync them before any later action."""
 
     meta: messages.Meta
 
 
 class SaveEntries(NamedTuple):
-    """Drop the log from ``first`` on, append the entries, and sync."""
+    """Truncate the log before ``first``, append the entries and sync."""
 
     first: int
     entries: tuple[messages.Entry, ...]
 
 
 class SaveSnapshot(NamedTuple):
-    """Sync a snapshot and keep only the entries after it."""
+    """Write and sync a snapshot; keep only the entries after it."""
 
     snapshot: messages.Snapshot
     kept: tuple[messages.Entry, ...]
 
 
 class Commit(NamedTuple):
-    """Hand committed entries to the state machine."""
+    """Apply committed entries to the state machine."""
 
     entries: tuple[messages.Entry, ...]
 
 
 class Restore(NamedTuple):
-    """Replace the state machine by a snapshot."""
+    """Replace the content of the state machine with a snapshot."""
 
     snapshot: messages.Snapshot
 
--- a/jasperweir/components/quorum/follower.py
+++ b/jasperweir/components/quorum/follower.py
@@ -1,4 +1,4 @@
-"""The follower's half: take in entries and snapshots of a leader."""
+"""Follower side of replication: handles entries and snapshots of a leader."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
 
 
 class Follower:
-    """Apply a leader's messages to the voter's state."""
+    """Applies a leader's messages to the voter's state."""
 
     def __init__(self, *, state: state_lib.State) -> None:
         self._state = state
@@ -20,7 +20,7 @@
         self._snapshot_buffer_index = 0
 
     def on_append(self, src: str, msg: messages.Append) -> Actions:
-        """Merge entries if they follow on what is held here."""
+        """Append the entries if the local log contains their predecessor."""
         if not self._has_entry(msg.prev_index, msg.prev_term):
             hint = min(msg.prev_index - 1, self._state.log.last_index)
             return [self._append_reply(src, ok=False, match=hint, msg=msg)]
@@ -60,7 +60,7 @@
         )
         if not new_entries:
             return []
-        # Everything from the first conflicting entry on is replaced.
+        # Replace the log from the first conflicting entry on.
         first = new_entries[0].idx
         tail = tuple(e for e in entries if e.idx >= first)
         replaced = first <= self._state.log.last_index
@@ -72,7 +72,7 @@
         return [actions.SaveEntries(first=first, entries=tail)]
 
     def on_install(self, src: str, msg: messages.Install) -> Actions:
-        """Take in a chunk; install the snapshot when it is whole."""
+        """Store a chunk and install the snapshot once it is complete."""
         if msg.offset == 0 or msg.idx != self._snapshot_buffer_index:
             self._snapshot_buffer.clear()
             self._snapshot_buffer_index = msg.idx
--- a/jasperweir/components/quorum/log.py
+++ b/jasperweir/components/quorum/log.py
@@ -1,11 +1,16 @@
-"""In-memory view of the replicated log."""
+"""In-memory copy of the replicated log."""
 
 from jasperweir.components.quorum import const
 from jasperweir.components.quorum import messages
 
 
 class MemoryLog:
-    """Entries after a snapshot, addressed by their index."""
+    """Log entries after the snapshot, addressed by their index.
+
+    Attributes:
+        base_index: Index of the last entry that the snapshot covers.
+        base_term: Term of that entry.
+    """
 
     def __init__(
         self,
@@ -19,7 +24,7 @@
         self._entries = [e for e in entries if e.idx > base_index]
 
     def __len__(self) -> int:
-        """Return the number of entries kept after the snapshot."""
+        """Return the number of entries after the snapshot."""
         return len(self._entries)
 
     @property
@@ -33,7 +38,7 @@
         return self._entries[-1].term if self._entries else self.base_term
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry, or None if it is not held."""
+        """Return the term of an entry, or None if the log lacks it."""
         if index == self.base_index:
             return self.base_term
         if not self.base_index < index <= self.last_index:
@@ -48,7 +53,7 @@
         return tuple(self._entries[low : last - self.base_index])
 
     def next_batch(self, first: int) -> tuple[messages.Entry, ...]:
-        """Return the entries from an index on that fit in one message."""
+        """Return the entries from ``first`` on that fit in one message."""
         batch: list[messages.Entry] = []
         size = 0
         last = first + const.APPEND_MAX_ENTRIES - 1
@@ -60,15 +65,15 @@
         return tuple(batch)
 
     def append(self, entries: tuple[messages.Entry, ...]) -> None:
-        """Add entries that follow the newest one."""
+        """Append entries that directly follow the newest one."""
         self._entries.extend(entries)
 
     def truncate(self, first: int) -> None:
-        """Drop the entry at ``first`` and all after it."""
+        """Remove the entry at ``first`` and all later ones."""
         del self._entries[first - self.base_index - 1 :]
 
     def compact(self, index: int, term: int) -> None:
-        """Forget entries up to an index that a snapshot now covers."""
+        """Remove the entries up to an index that a snapshot now covers."""
         if self.term_at(index) == term:
             del self._entries[: index - self.base_index]
         else:
--- a/jasperweir/components/quorum/messages.py
+++ b/jasperweir/components/quorum/messages.py
@@ -6,7 +6,14 @@
 
 
 class Entry(NamedTuple):
-    """One record of the log."""
+    """One entry of the replicated log.
+
+    Attributes:
+        idx: Position in the log, from 1.
+        term: Term of the leader that appended it.
+        kind: One of the KIND constants.
+        data: Encoded operation or seats, empty for a no-op.
+    """
 
     idx: int
     term: int
@@ -15,7 +22,14 @@
 
 
 class Seat(NamedTuple):
-    """One member of the quorum, bound to the disk it joined with."""
+    """One member of the cluster, bound to the disk that it joined with.
+
+    Attributes:
+        name: Name of the process.
+        disk: Identity of its data folder.
+        addr: Its internal address, ``ip:port``.
+        voting: False for a learner.
+    """
 
     name: str
     disk: str
@@ -24,12 +38,12 @@
 
 
 class Seats(NamedTuple):
-    """The members of the quorum; one change at a time.
+    """Membership of the cluster, changed by one member at a time.
 
     Attributes:
-        seats: All members, learners included.
-        log_id: Drawn once when the log was founded, so that nobody takes
-            another log's revisions for newer ones of this log.
+        seats: All members, including learners.
+        log_id: Random identity of the log, set at bootstrap. It prevents a
+            node from mixing the revisions of two logs.
     """
 
     seats: tuple[Seat, ...] = ()
@@ -38,7 +52,7 @@
 
 @codec.message("quorum.prevote")
 class PreVote(NamedTuple):
-    """Ask whether an election would succeed, without raising the term."""
+    """Asks whether an election would succeed, without raising the term."""
 
     term: int
     last_index: int
@@ -57,7 +71,7 @@
 
 @codec.message("quorum.vote")
 class Vote(NamedTuple):
-    """Ask for a vote; ``transfer`` overrides the leader's lease."""
+    """Requests a vote; ``transfer`` overrides the leader's lease."""
 
     term: int
     last_index: int
@@ -77,11 +91,17 @@
 
 @codec.message("quorum.append")
 class Append(NamedTuple):
-    """Replicate entries; an empty one is the heartbeat.
+    """Replicates entries; without entries it is a heartbeat.
 
     Attributes:
-        last: Newest index of the leader, which a disk that may have lost an
-            acknowledged entry must reach before it votes again.
+        term: Term of the leader.
+        prev_index: Index of the entry before the first one sent.
+        prev_term: Term of that entry.
+        entries: Consecutive entries.
+        commit: Commit index of the leader.
+        last: Newest index of the leader. A voter whose disk may have lost an
+            acknowledged entry must reach it before it votes again.
+        round: Number of the message, echoed by the reply.
     """
 
     term: int
@@ -95,7 +115,15 @@
 
 @codec.message("quorum.append_reply")
 class AppendReply(NamedTuple):
-    """Answer to an Append, sent only after the entries are synced."""
+    """Answer to an Append, sent only after the entries are synced.
+
+    Attributes:
+        term: Term of the follower.
+        ok: Whether the entries were accepted.
+        match: Index up to which both logs agree, or may agree if not ``ok``.
+        round: Number of the message that is answered.
+        disk: Identity of the follower's disk.
+    """
 
     term: int
     ok: bool
@@ -106,7 +134,7 @@
 
 @codec.message("quorum.install")
 class Install(NamedTuple):
-    """One chunk of a snapshot for a follower that trails the log's start."""
+    """One chunk of a snapshot, for a follower behind the start of the log."""
 
     term: int
     idx: int
@@ -120,7 +148,7 @@
 
 @codec.message("quorum.install_reply")
 class InstallReply(NamedTuple):
-    """Answer to a chunk: how many bytes of the snapshot are held."""
+    """Answer to a chunk, with the number of bytes received so far."""
 
     term: int
     idx: int
@@ -131,28 +159,28 @@
 
 @codec.message("quorum.timeout_now")
 class TimeoutNow(NamedTuple):
-    """Hand over the lead: the receiver starts an election at once."""
+    """Transfers leadership: the receiver starts an election at once."""
 
     term: int
 
 
 @codec.message("quorum.hello")
 class Hello(NamedTuple):
-    """A process without a seat tells its disk identity to the voters."""
+    """Request for a seat, sent to the voters by a process without one."""
 
     disk: str
     addr: str
 
 
 class Meta(NamedTuple):
-    """Durable term and vote."""
+    """Term and vote, stored on disk."""
 
     term: int = 0
     voted_for: str = ""
 
 
 class Snapshot(NamedTuple):
-    """Durable state that replaces the log up to an index."""
+    """State that replaces the log up to an index, stored on disk."""
 
     idx: int = 0
     term: int = 0
@@ -161,11 +189,15 @@
 
 
 class Recovered(NamedTuple):
-    """What a data folder held at start.
+    """Content of a data folder, read at start.
 
     Attributes:
-        tail_uncertain: The last record failed its checksum although it is
-            complete, so an acknowledged entry may be gone from this disk.
+        disk: Identity of the data folder.
+        meta: Term and vote.
+        snapshot: Newest snapshot.
+        entries: Log entries.
+        tail_uncertain: Whether the last record is complete but fails its
+            checksum, so that an acknowledged entry may be lost.
         commit_hint: Index up to which the log was known to be committed.
     """
 
--- a/jasperweir/components/quorum/null_storage.py
+++ b/jasperweir/components/quorum/null_storage.py
@@ -1,13 +1,13 @@
-"""What stands for a data folder on a VM without a disk."""
+"""Storage of a control VM without a disk."""
 
 from jasperweir.components.quorum import messages
 
 
 class NullStorage:
-    """Keeps nothing: its process holds no seat and starts empty each time."""
+    """Storage that discards all data, for a process that holds no seat."""
 
     def open(self) -> messages.Recovered:
-        """Return an empty log without a disk's identity."""
+        """Return an empty log without a disk identity."""
         return messages.Recovered(
             disk="",
             meta=messages.Meta(),
@@ -20,17 +20,17 @@
         """Do nothing."""
 
     def save_meta(self, meta: messages.Meta) -> None:
-        """Do nothing: without a seat no term or vote counts."""
+        """Discard the data; the process never votes."""
 
     def save_entries(
         self, first: int, entries: tuple[messages.Entry, ...]
     ) -> None:
-        """Do nothing: without a seat no entries are sent here."""
+        """Discard the data; no leader sends entries here."""
 
     def save_snapshot(
         self, snapshot: messages.Snapshot, kept: tuple[messages.Entry, ...]
     ) -> None:
-        """Do nothing: without a seat no snapshot is sent here."""
+        """Discard the data; no leader sends a snapshot here."""
 
     def save_commit_hint(self, index: int) -> None:
         """Do nothing."""
@@ -39,5 +39,5 @@
         """Do nothing."""
 
     def side(self) -> bytes:
-        """Return nothing."""
+        """Return empty data."""
         return b""
--- a/jasperweir/components/quorum/progress.py
+++ b/jasperweir/components/quorum/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of each other member of the quorum."""
+"""Replication progress of the other members, and majority arithmetic."""
 
 import dataclasses
 
@@ -7,7 +7,18 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Progress:
-    """Replication state of one follower or learner."""
+    """Replication state of one follower or learner, kept by the leader.
+
+    Attributes:
+        next_index: Index of the next entry to send.
+        match_index: Highest index known to be synced by the member.
+        acked_at: Send time of the newest answered message.
+        sent_at: Send time of the newest message.
+        in_flight: Whether entries or a chunk wait for an answer.
+        snapshot_held_bytes: Bytes of the snapshot that the member holds.
+        snapshot_index: Index of that snapshot.
+        sent_at_by_round: Send times of unanswered messages by number.
+    """
 
     next_index: int
     match_index: int = 0
@@ -19,30 +30,30 @@
     sent_at_by_round: dict[int, float] = dataclasses.field(default_factory=dict)
 
     def record_sent(self, number: int, now: float) -> None:
-        """Remember when a numbered message left, for the lease."""
+        """Record the send time of a message, for the lease."""
         self.sent_at_by_round[number] = now
         self.sent_at = now
         if len(self.sent_at_by_round) > 32:
             self.sent_at_by_round.pop(next(iter(self.sent_at_by_round)))
 
     def record_ack(self, number: int) -> None:
-        """Extend the lease from the time the answered message was sent."""
+        """Extend the lease from the send time of the answered message."""
         sent_at = self.sent_at_by_round.pop(number, None)
         if sent_at is not None:
             self.acked_at = max(self.acked_at, sent_at)
 
 
 def voting_seats(seats: messages.Seats) -> list[messages.Seat]:
-    """Return the members that count towards a quorum."""
+    """Return the seats of the voting members."""
     return [seat for seat in seats.seats if seat.voting]
 
 
 def majority_size(count: int) -> int:
-    """Return the smallest number that is more than half."""
+    """Return the smallest number that is more than half of ``count``."""
     return count // 2 + 1
 
 
 def majority_value(values: list[float]) -> float:
-    """Return the largest value that a majority has reached."""
+    """Return the largest value that a majority of the values reaches."""
     ranked = sorted(values, reverse=True)
     return ranked[majority_size(len(ranked)) - 1]
--- a/jasperweir/components/quorum/replicator.py
+++ b/jasperweir/components/quorum/replicator.py
@@ -1,4 +1,4 @@
-"""The leader's half of replication: what to send to whom, and when."""
+"""Leader side of replication: sends entries, heartbeats and snapshots."""
 
 from typing import Any
 
@@ -10,11 +10,11 @@
 
 
 class Replicator:
-    """Track followers of one leadership and feed them entries.
+    """Tracks and updates the followers during one term of leadership.
 
     Attributes:
         peers: Replication state by member name, without the leader itself.
-        led_since: When the leadership began.
+        leader_since: Start of the leadership, monotonic seconds.
     """
 
     def __init__(
@@ -28,7 +28,7 @@
         self.leader_since = now
 
     def update_seats(self, seats: messages.Seats) -> None:
-        """Follow a change of seats, in force from its append on."""
+        """Adopt new seats, which apply as soon as they are appended."""
         self._seats = seats
         names = {s.name for s in seats.seats if s.name != self._name}
         for name in names - self.peers.keys():
@@ -39,7 +39,7 @@
             del self.peers[name]
 
     def majority_acked_at(self, now: float) -> float:
-        """Return when the newest message that a majority answered left."""
+        """Return the send time of the newest message a majority answered."""
         times = [
             now if seat.name == self._name else self.peers[seat.name].acked_at
             for seat in progress_lib.voting_seats(self._seats)
@@ -49,12 +49,16 @@
         return progress_lib.majority_value(times)
 
     def has_lost_quorum(self, now: float) -> bool:
-        """Tell whether a majority has been silent for a whole election."""
+        """Return whether a majority was silent for an election timeout."""
         heard = max(self.majority_acked_at(now), self.leader_since)
         return now >= heard + const.ELECTION_MIN_SECONDS
 
     def majority_match_index(self, self_votes: bool) -> int:
-        """Return the highest index that a majority has synced."""
+        """Return the highest index that a majority has synced.
+
+        Args:
+            self_votes: Whether the leader itself holds a voting seat.
+        """
         matches = []
         for seat in progress_lib.voting_seats(self._seats):
             if seat.name == self._name:
@@ -66,7 +70,7 @@
         return int(progress_lib.majority_value([float(m) for m in matches]))
 
     def find_transfer_target(self, now: float) -> str:
-        """Return a caught-up, recently heard voter, or an empty string."""
+        """Return a live voter with a complete log, or an empty string."""
         candidates = [
             seat.name
             for seat in progress_lib.voting_seats(self._seats)
@@ -80,7 +84,7 @@
     def on_reply(
         self, src: str, msg: messages.AppendReply | messages.InstallReply
     ) -> None:
-        """Take in a follower's answer."""
+        """Update a follower's progress from its answer."""
         peer = self.peers.get(src)
         if peer is None:
             return
@@ -94,7 +98,7 @@
             peer.match_index = max(peer.match_index, msg.match)
             peer.next_index = max(peer.next_index, peer.match_index + 1)
             return
-        # A follower that lost its tail since must be fed from there again.
+        # The follower may have lost its tail, so match_index may decrease.
         peer.match_index = min(peer.match_index, msg.match)
         peer.next_index = max(min(msg.match + 1, peer.next_index - 1), 1)
 
@@ -105,7 +109,7 @@
         commit: int,
         snapshot: messages.Snapshot,
     ) -> list[Any]:
-        """Send heartbeats and repeat what was not answered."""
+        """Send the due heartbeats and resend unanswered entries."""
         out = []
         for name, peer in self.peers.items():
             if now - peer.sent_at >= const.RESEND_SECONDS:
@@ -121,7 +125,7 @@
         commit: int,
         snapshot: messages.Snapshot,
     ) -> list[Any]:
-        """Send to each follower that trails and has nothing in flight."""
+        """Send entries to each lagging follower with nothing in flight."""
         out = []
         for name, peer in self.peers.items():
             if peer.in_flight or peer.next_index > self._log.last_index:
@@ -170,7 +174,7 @@
         if peer.snapshot_index != snapshot.idx:
             peer.snapshot_held_bytes = 0
         if peer.snapshot_held_bytes >= len(snapshot.data) > 0:
-            # The whole snapshot is held: go on with the log after it.
+            # The snapshot is complete: continue with the log after it.
             peer.snapshot_held_bytes = 0
             peer.match_index = max(peer.match_index, snapshot.idx)
             peer.next_index = snapshot.idx + 1
--- a/jasperweir/components/quorum/state.py
+++ b/jasperweir/components/quorum/state.py
@@ -1,4 +1,4 @@
-"""What one voter knows and has synced, and the questions asked of it."""
+"""State of one voter: term, vote, log, snapshot and seats."""
 
 from typing import Any
 
@@ -13,15 +13,17 @@
 
 
 class State:
-    """Term, vote, log, snapshot and seats of one voter.
+    """Raft state of one voter.
 
     Attributes:
         name: Name of the voter.
         disk: Identity of its disk.
         term: Highest term seen.
-        voted_for: Who got this voter's vote in the term.
+        voted_for: Candidate that received this voter's vote in the term.
+        log: Entries after the snapshot.
+        snapshot: Newest snapshot.
         commit: Index up to which entries are committed.
-        seats: Members of the quorum, in force from their append on.
+        seats: Members of the cluster, applied as soon as they are appended.
         seats_index: Index of the entry that set them.
         may_vote: False while this disk may lack an acknowledged entry.
     """
@@ -36,13 +38,13 @@
         self.commit = recovered.snapshot.idx
         self.seats_index = 0
         self.seats = recovered.snapshot.seats
-        # A disk that may have lost an acknowledged entry gets no say until
-        # a leader has caught it up.
+        # A disk that may have lost an acknowledged entry must not vote until
+        # a leader has brought it up to date.
         self.may_vote = not recovered.tail_uncertain
         self.reload_seats()
 
     def find_seat(self, name: str) -> messages.Seat | None:
-        """Return the seat held under a name."""
+        """Return the seat of a member, or None."""
         for seat in self.seats.seats:
             if seat.name == name:
                 return seat
@@ -60,22 +62,25 @@
         return actions.SaveMeta(meta=meta)
 
     def advance_commit(self, index: int) -> Actions:
-        """Move the commit index and return the entries it passes."""
+        """Advance the commit index and return the newly committed entries."""
         entries = self.log.entries_between(self.commit + 1, index)
         self.commit = index
         return [actions.Commit(entries=entries)]
 
     def has_committed_in_term(self) -> bool:
-        """Tell whether an entry of the own term is committed."""
+        """Return whether an entry of the current term is committed."""
         return self.log.term_at(self.commit) == self.term
 
     def is_log_up_to_date(self, last_index: int, last_term: int) -> bool:
-        """Tell whether another log holds all that this one holds."""
+        """Return whether another log is at least as complete as this one."""
         own_last = (self.log.last_term, self.log.last_index)
         return (last_term, last_index) >= own_last
 
     def holds_seat(self, name: str, disk: str) -> bool:
-        """Tell whether a name holds a seat with that very disk."""
+        """Return whether a process holds a seat with this disk.
+
+        A wiped disk has a new identity, so it doesn't keep its old seat.
+        """
         seat = self.find_seat(name)
         return seat is not None and seat.disk == disk
 
@@ -88,12 +93,12 @@
         ]
 
     def is_majority(self, names: set[str]) -> bool:
-        """Tell whether some members are a majority of the voting ones."""
+        """Return whether the names include a majority of the voters."""
         voting = {seat.name for seat in progress_lib.voting_seats(self.seats)}
         return len(names & voting) >= progress_lib.majority_size(len(voting))
 
     def reload_seats(self) -> None:
-        """Find the newest seats in snapshot and log."""
+        """Set the seats from the newest record in snapshot and log."""
         self.seats = self.snapshot.seats
         self.seats_index = self.snapshot.idx
         for entry in self.log.entries_between(
@@ -113,7 +118,7 @@
 
 
 def _load_log(recovered: messages.Recovered) -> log_lib.MemoryLog:
-    """Build the log, minding a crash between snapshot and log files."""
+    """Build the log; tolerate a crash between saving snapshot and log."""
     snapshot = recovered.snapshot
     entries = recovered.entries
     for entry in entries:
--- a/jasperweir/components/quorum/storage.py
+++ b/jasperweir/components/quorum/storage.py
@@ -26,7 +26,14 @@
 
 
 class ScanResult(NamedTuple):
-    """Result of reading a log file from its start."""
+    """Result of reading a log file.
+
+    Attributes:
+        entries: Intact entries.
+        offsets: Byte offset of each entry.
+        valid_bytes: Bytes up to the end of the last intact entry.
+        tail_uncertain: Whether the dropped tail may have been acknowledged.
+    """
 
     entries: tuple[messages.Entry, ...]
     offsets: tuple[int, ...]
@@ -35,23 +42,26 @@
 
 
 def encode_record(data: bytes) -> bytes:
-    """Return a record: length, checksum, data."""
+    """Return a record with its header: length, checksum, data."""
     return _HEADER.pack(len(data), hashing.checksum(data)) + data
 
 
 def scan_log(raw: bytes, *, synced_is_intact: bool = False) -> ScanResult:
-    """Read records until the end or the torn tail.
+    """Read records up to the end of the log or a torn tail.
+
+    With ``synced_is_intact`` the log ends before the first bad record or
+    the first one out of sequence. Such a record is part of an unsynced write.
 
-    With ``synced_is_intact`` the first bad record, or one that does not
-    follow on the record before it, is the end: it belongs to a write that
-    was never synced, of which any part may have reached the disk.
+    Otherwise an incomplete last record was never synced and is dropped. A
+    complete last record with a wrong checksum may have been acknowledged: it
+    is dropped and reported.
 
-    A record that ends before its stated length was never synced, so it was
-    never acknowledged and is dropped. A complete last record with a wrong
-    checksum may have been acknowledged: it is dropped and reported.
+    Args:
+        raw: Content of the log file.
+        synced_is_intact: Whether the disk never damages synced data.
 
     Raises:
-        LogCorruptError: A bad record is followed by a good one.
+        LogCorruptError: A bad record is followed by an intact one.
     """
     entries: list[messages.Entry] = []
     offsets: list[int] = []
@@ -74,7 +84,7 @@
         return ScanResult(tuple(entries), tuple(offsets), pos, False)
     if pos < len(raw) and _has_intact_record_after(raw, pos):
         raise exceptions.LogCorruptError(
-            f"log record at byte {pos} is damaged but later ones are intact"
+            f"log record at byte {pos} is corrupt but later records are intact"
         )
     uncertain = pos < len(raw) and _is_complete(raw, pos)
     return ScanResult(
@@ -90,7 +100,7 @@
 
 
 def _record_at(raw: bytes, pos: int) -> bytes | None:
-    """Return the record's data, or None if it is short or damaged."""
+    """Return the data of a record, or None if it is torn or corrupt."""
     if pos + _HEADER.size > len(raw):
         return None
     size, digest = _HEADER.unpack_from(raw, pos)
@@ -102,7 +112,7 @@
 
 
 def _has_intact_record_after(raw: bytes, pos: int) -> bool:
-    """Tell whether any intact record starts after a damaged one."""
+    """Return whether an intact record starts anywhere after ``pos``."""
     return any(
         _record_at(raw, start) is not None
         for start in range(pos + 1, len(raw) - _HEADER.size)
@@ -110,10 +120,10 @@
 
 
 def _is_complete(raw: bytes, pos: int) -> bool:
-    """Tell whether the damaged record has all the bytes it claims.
+    """Return whether a corrupt record has its full length.
 
-    A damaged length field can claim anything, so a tail that holds more than
-    a header and ends exactly nowhere is counted as complete as well.
+    A record with an impossible length counts as complete, since its length
+    field may be the corrupt part.
     """
     if pos + _HEADER.size > len(raw):
         return False
@@ -124,19 +134,17 @@
 
 
 class DiskStorage:
-    """Files of one voter; every save is synced before it returns."""
+    """Files of one voter; each save is synced before it returns."""
 
     def __init__(
         self, *, folder: pathlib.Path, synced_is_intact: bool = False
     ) -> None:
-        """Use a folder.
+        """Initialize the storage without opening any file.
 
         Args:
             folder: Data folder.
-            synced_is_intact: Whether the disk never damages what was synced.
-                Then whatever is damaged was never acknowledged, and the log
-                ends before it; otherwise a damaged record may have been
-                acknowledged, and counts as such.
+            synced_is_intact: Whether the disk never damages synced data. If
+                not, a corrupt record may have been acknowledged.
         """
         self._folder = folder
         self._synced_is_intact = synced_is_intact
@@ -145,11 +153,11 @@
         self._fd = -1
 
     def open(self) -> messages.Recovered:
-        """Read or create the folder's files.
+        """Read the files of the folder, or create them.
 
         Raises:
             StorageError: The folder cannot be read or written.
-            LogCorruptError: The log is damaged before its end.
+            LogCorruptError: The log is corrupt before its end.
         """
         try:
             self._folder.mkdir(parents=True, exist_ok=True)
@@ -164,13 +172,13 @@
             self._fd = -1
 
     def save_meta(self, meta: messages.Meta) -> None:
-        """Replace term and vote, synced."""
+        """Replace the term and the vote, and sync."""
         self._replace(META_FILE, encode_record(codec.pack(meta)))
 
     def save_entries(
         self, first: int, entries: tuple[messages.Entry, ...]
     ) -> None:
-        """Drop the log from an index on and append entries, synced."""
+        """Truncate the log before ``first``, append entries and sync."""
         try:
             self._truncate(first)
             chunks = []
@@ -189,7 +197,7 @@
         snapshot: messages.Snapshot,
         kept: tuple[messages.Entry, ...],
     ) -> None:
-        """Replace snapshot, then the log, each atomically and synced."""
+        """Replace the snapshot, then the log, each atomically."""
         self._replace(SNAPSHOT_FILE, encode_record(codec.pack(snapshot)))
         records = [encode_record(codec.pack(entry)) for entry in kept]
         self._replace(LOG_FILE, b"".join(records))
@@ -201,19 +209,19 @@
             self._size += len(record)
 
     def save_commit_hint(self, index: int) -> None:
-        """Write down how far the log is committed.
+        """Save the commit index as a hint for a faster restart.
 
-        It is only a hint for a quicker restart: what it covers was synced
-        before it counted as committed, so an old or lost hint is harmless.
+        An outdated or lost hint is harmless, because the entries themselves
+        are synced before they are committed.
         """
         self._replace(COMMIT_FILE, encode_record(codec.pack(index)))
 
     def note_side(self, data: bytes) -> None:
-        """Write down soft state for a quicker restart."""
+        """Save soft state for a faster restart."""
         self._replace(SOFT_STATE_FILE, encode_record(data))
 
     def side(self) -> bytes:
-        """Return the soft state, empty if there is none that is whole."""
+        """Return the soft state, empty if it is absent or corrupt."""
         return self._read_optional(SOFT_STATE_FILE)
 
     def _load_commit_hint(self) -> int:
@@ -224,7 +232,7 @@
         path = self._folder / name
         if not path.exists():
             return b""
-        # What fails its checksum is as good as absent here.
+        # A corrupt optional file is treated as absent.
         return _record_at(path.read_bytes(), 0) or b""
 
     def _recover(self) -> messages.Recovered:
@@ -263,7 +271,7 @@
         leftovers = (META_FILE, SNAPSHOT_FILE, LOG_FILE)
         if any((self._folder / name).exists() for name in leftovers):
             raise exceptions.StorageError(
-                f"{self._folder} holds a log but no identity"
+                f"{self._folder} contains a log but no identity file"
             )
         disk = secrets.token_hex(8)
         self._replace(IDENTITY_FILE, disk.encode("ascii"))
@@ -276,8 +284,8 @@
         raw = path.read_bytes()
         data = _record_at(raw, 0)
         if data is None:
-            # These files are replaced atomically, so damage is never a tear.
-            raise exceptions.LogCorruptError(f"{path} fails its checksum")
+            # These files are replaced atomically, so this is no torn write.
+            raise exceptions.LogCorruptError(f"{path}: checksum mismatch")
         value: T = codec.unpack(data, kind)
         return value
 
@@ -292,8 +300,8 @@
         if offset is None:
             return
         os.ftruncate(self._fd, offset)
-        # The cut and the write after it must not be kept one without the
-        # other.
+        # Sync the truncation before new data is appended, so that a crash
+        # cannot leave old records after new ones.
         os.fsync(self._fd)
         self._size = offset
         self._offsets = {
@@ -323,7 +331,7 @@
 
 
 def _write_all(fd: int, data: bytes) -> None:
-    """Write every byte, since a short write is not an error to the OS."""
+    """Write all bytes; a single write call may be short without an error."""
     view = memoryview(data)
     while view:
         view = view[os.write(fd, view) :]
--- a/jasperweir/components/quorum/voter.py
+++ b/jasperweir/components/quorum/voter.py
@@ -1,4 +1,4 @@
-"""Decisions of one voter: elections, leases, seats and the commit index."""
+"""Raft state machine of one voter: elections, leases, seats and commits."""
 
 import random
 from typing import Any
@@ -31,11 +31,10 @@
     Attributes:
         role: One of the role constants of this module.
         leader: Name of the known leader, or an empty string.
-        waiting: Processes that ask for a seat, with their disks.
-        wanted_voters: Beyond so many voters learners stay learners, as long as
-            all voters answer; 0 for no bound. An odd number is best: six voters
-            of a core that was cut into halves had no majority on either side
-            for 6.6 s, five have it on one.
+        seat_requests: Newest seat request by the name of its sender.
+        wanted_voters: Number of live voters at which learners are no longer
+            promoted; 0 for no limit. An odd number leaves a majority on one
+            side of a partition into halves.
     """
 
     _replicator: replicator.Replicator | None = None
@@ -65,13 +64,13 @@
     # Queries.
 
     def reload_seats(self) -> None:
-        """Find the newest seats; a leader feeds them from now on."""
+        """Set the newest seats; a leader starts replicating to them."""
         super().reload_seats()
         if self._replicator is not None:
             self._replicator.update_seats(self.seats)
 
     def has_lease(self, now: float) -> bool:
-        """Tell whether no other leader can exist at this moment."""
+        """Return whether no other leader can exist at this moment."""
         if self.role != LEADER or self._replicator is None:
             return False
         if self._is_transferring:
@@ -82,7 +81,8 @@
     def read_index(self, now: float) -> int | None:
         """Return an index that covers all committed entries, or None.
 
-        Only a leader with a lease that has committed in its own term knows.
+        Only a leader with a lease that has committed an entry of its own
+        term knows this index.
         """
         if not self.has_lease(now) or not self.has_committed_in_term():
             return None
@@ -90,13 +90,13 @@
 
     @property
     def leader_since(self) -> float:
-        """When this voter took the lead, minus infinity if it does not."""
+        """Start of this voter's leadership, minus infinity if not leader."""
         if self._replicator is None:
             return float("-inf")
         return self._replicator.leader_since
 
     def progress_of(self, name: str) -> progress_lib.Progress | None:
-        """Return a member's replication state, on the leader only."""
+        """Return a member's replication state, None if not leader."""
         if self._replicator is None:
             return None
         return self._replicator.peers.get(name)
@@ -104,7 +104,7 @@
     # Inputs.
 
     def bootstrap(self, addr: str) -> Actions:
-        """Found a new log with this disk as its only voter.
+        """Create a new log with this disk as its only voter.
 
         Raises:
             ValueError: The data folder already holds a log.
@@ -135,16 +135,15 @@
         ]
 
     def restore_commit(self, index: int) -> Actions:
-        """Commit again what was committed before a restart.
+        """Commit the entries that were committed before a restart.
 
-        Entries that were committed once are never replaced, so this needs
-        no leader; newer ones wait for one.
+        This needs no leader, because committed entries are never replaced.
         """
         index = min(index, self.log.last_index)
         return self.advance_commit(index) if index > self.commit else []
 
     def tick(self, now: float) -> Actions:
-        """Let time pass: heartbeats, lease loss and elections."""
+        """Run timers: heartbeats, quorum checks and elections."""
         if self.role == LEADER:
             return self._tick_leader(now)
         if now < self._election_due_at or not self.is_voting:
@@ -155,7 +154,7 @@
         return self._start_prevote(now)
 
     def receive(self, src: str, msg: Any, now: float) -> Actions:
-        """Handle a message from another member."""
+        """Handle a message from another process."""
         match msg:
             case messages.Hello():
                 self.seat_requests[src] = msg
@@ -184,8 +183,8 @@
         """Append an entry as the leader.
 
         Returns:
-            The entry's index and the actions, or 0 and nothing if this is
-            not a leader with a lease.
+            The index of the entry and the actions, or 0 and no actions if
+            this voter is not a leader with a lease.
         """
         if not self.has_lease(now):
             return 0, []
@@ -202,13 +201,18 @@
     def change_seats(
         self, seats: messages.Seats, now: float
     ) -> tuple[int, Actions]:
-        """Propose new seats, refused while another change is uncommitted."""
+        """Propose new seats.
+
+        Returns:
+            The index of the entry and the actions, or 0 and no actions while
+            another change is uncommitted.
+        """
         if self.seats_index > self.commit or not self.has_committed_in_term():
             return 0, []
         return self.propose(codec.pack(seats), now, kind=const.KIND_SEATS)
 
     def compact(self, index: int, data: bytes) -> Actions:
-        """Replace the committed log up to an index by a snapshot."""
+        """Replace the committed log up to ``index`` with a snapshot."""
         term = self.log.term_at(index)
         if term is None or index > self.commit:
             return []
@@ -222,14 +226,14 @@
         return [actions.SaveSnapshot(snapshot=self.snapshot, kept=kept)]
 
     def hand_over(self, now: float) -> Actions:
-        """Give the lead to the most advanced voter, if it is caught up."""
+        """Transfer leadership to a live voter with a complete log, if any."""
         if self.role != LEADER or self._replicator is None:
             return []
         target = self._replicator.find_transfer_target(now)
         if not target:
             return []
-        # The successor may lead at any moment from here on, so the lease of
-        # this term ends for good, even if the message is late.
+        # The target may become leader at any moment from now on, so this
+        # leader gives up its lease even if the message is delayed.
         self._is_transferring = True
         self._reset_election_timer(now)
         return [core.Send(dst=target, msg=messages.TimeoutNow(term=self.term))]
@@ -312,7 +316,7 @@
         if not self.holds_seat(src, msg.disk):
             return []
         if self._is_leader_alive(now) and not msg.transfer:
-            # A live leader is not to be deposed by a member that lost it.
+            # A member that lost contact must not depose a live leader.
             return []
         out: Actions = []
         if msg.term > self.term:
@@ -363,12 +367,12 @@
         out.append(actions.SaveEntries(first=entry.idx, entries=(entry,)))
         return out + self._advance_and_send(now)
 
-    # Leading.
+    # Leader.
 
     def _tick_leader(self, now: float) -> Actions:
         assert self._replicator is not None
         if self._replicator.has_lost_quorum(now):
-            # Check-quorum: an isolated leader stops believing in itself.
+            # An isolated leader steps down.
             return self._become_follower(self.term, "", now)
         if self._is_transferring and now >= self._election_due_at:
             return self._become_follower(self.term, "", now)
@@ -389,7 +393,7 @@
             if peer.match_index == 0 or lag > const.PROMOTE_LAG_ENTRIES:
                 continue
             if now - peer.acked_at > const.ELECTION_MIN_SECONDS:
-                # With a voter that is cut off a majority may be out of reach.
+                # Promoting an unreachable learner could cost the majority.
                 continue
             seats = self.seats._replace(
                 seats=tuple(
@@ -401,7 +405,7 @@
         return []
 
     def _has_enough_voters(self, now: float) -> bool:
-        """Tell whether learners stay what they are."""
+        """Return whether no learner needs to be promoted."""
         if not self.wanted_voters:
             return False
         others = self.other_voters()
@@ -434,7 +438,8 @@
         assert self._replicator is not None
         index = self._replicator.majority_match_index(self.is_voting)
         out: Actions = []
-        # Only an entry of the own term may be counted; older ones follow.
+        # Only entries of the current term are committed by counting; older
+        # entries are committed along with them.
         if index > self.commit and self.log.term_at(index) == self.term:
             out += self.advance_commit(index)
         out += self._replicator.send_pending(
@@ -444,7 +449,7 @@
             out += self._become_follower(self.term, "", now)
         return out
 
-    # Following.
+    # Follower.
 
     def _on_leader_message(
         self, src: str, msg: messages.Append | messages.Install, now: float
@@ -466,7 +471,7 @@
             return out + self._follower.on_install(src, msg)
         return out + self._follower.on_append(src, msg)
 
-    # Shared steps.
+    # Role changes and timers.
 
     def _become_follower(self, term: int, leader: str, now: float) -> Actions:
         out: Actions = []
@@ -495,15 +500,16 @@
     def _is_leader_alive(self, now: float) -> bool:
         if self.role == LEADER:
             return self.has_lease(now)
-        # A restarted voter may have promised a lease that it forgot.
+        # A restarted voter may have acknowledged a lease before the restart.
         if now < self._started_at + const.RESTART_SECONDS:
             return True
         return now < self._leader_heard_at + const.ELECTION_MIN_SECONDS
 
     def _initial_election_delay_s(self) -> float:
-        """Return how long a voter that has just started waits for a leader.
+        """Return the election delay after a start, in seconds.
 
-        Whoever led before goes first, as far as this voter's last vote tells.
+        The candidate of this voter's last vote, most likely the previous
+        leader, has the shortest delay.
         """
         voters = sorted([self.name, *self.other_voters()])
         if self.voted_for in voters:
@@ -513,7 +519,7 @@
         return const.RESTART_SECONDS + rank * const.STAGGER_SECONDS
 
     def _is_starting(self, now: float) -> bool:
-        """Tell whether it has started just now and heard no leader yet."""
+        """Return whether the voter started recently and heard no leader."""
         if self._leader_heard_at > float("-inf"):
             return False
         return now - self._started_at < const.START_WINDOW_SECONDS
@@ -521,11 +527,12 @@
     def _reset_election_timer(
         self, now: float, at_start: tuple[float, float] = _ELECTION_SECONDS
     ) -> None:
-        """Set when an election is due.
+        """Set the time of the next election.
 
         Args:
             now: Monotonic seconds.
-            at_start: Range of the wait of one that has just started.
+            at_start: Range of the timeout in seconds while the voter is
+                starting.
         """
         least, most = at_start if self._is_starting(now) else _ELECTION_SECONDS
         self._election_due_at = now + self._rng.uniform(least, most)
