--- a/features/harness/site.py
+++ b/features/harness/site.py
@@ -87,7 +87,7 @@
         node = self.nodes.pop(name, None)
         if node is not None:
             self.hints[name] = node.voter.commit
-            self.sides[name] = node.roster.side_state(self.now)
+            self.sides[name] = node.roster.soft_state(self.now)
         self.followers.pop(name, None)
 
     def wipe(self, name):
--- a/features/steps/declared_steps.py
+++ b/features/steps/declared_steps.py
@@ -30,7 +30,7 @@
 
 
 @given("a calm site with version {version:d}")
-def step_calm(context, version):
+def step_committed(context, version):
     step_site(context)
     context.asks = [context.site.replace("c1", version)]
     context.site.run(1.5)
@@ -63,7 +63,7 @@
 
 
 @then("every operator is told that version {version:d} is committed")
-def step_told(context, version):
+def step_all_acknowledged(context, version):
     for ask in context.asks:
         got = context.site.results.get(ask)
         assert isinstance(got, node_lib.Replaced), got
@@ -71,13 +71,13 @@
 
 
 @then("every entry acts on version {version:d}")
-def step_acts(context, version):
+def step_entries_apply(context, version):
     site = context.site
     assert all(site.versions[n] == version for n in site.followers)
 
 
 @then("no operator is told anything but to ask again")
-def step_ask_again(context):
+def step_all_unconfirmed(context):
     for ask in context.asks:
         got = context.site.results.get(ask)
         assert isinstance(got, roster_lib.Unconfirmed), got
@@ -86,11 +86,11 @@
 @then("a read at every control VM returns the first content of version 9")
 def step_read_all(context):
     site = context.site
-    for declared in read_everywhere(site):
+    for declared in read_from_all(site):
         assert declared.data == site.contents[9]
 
 
-def read_everywhere(site):
+def read_from_all(site):
     """Read the configuration at every control VM; return what they tell."""
     asks = [site.describe(name) for name in site.nodes]
     site.run(1.0)
@@ -118,7 +118,7 @@
 
 
 @then("the reader is told to ask again")
-def step_reader(context):
+def step_read_unconfirmed(context):
     got = context.site.results.get(context.read)
     assert isinstance(got, roster_lib.Unconfirmed), got
 
@@ -261,7 +261,7 @@
 
 
 @then("no entry would send to the target")
-def step_nobody(context):
+def step_target_excluded(context):
     site = context.site
     for follower in site.followers.values():
         assert not follower.directory.serving("s", site.now)
@@ -274,7 +274,7 @@
 
 
 @then("a new entry would not send to the target either")
-def step_new_nobody(context):
+def step_target_excluded_new_entry(context):
     site = context.site
     site.start_entry("e9")
     site.run(1.5)
@@ -304,17 +304,17 @@
     context.failures = []
     for seed in range(count):
         try:
-            schedule(seed)
+            run_schedule(seed)
         except AssertionError as exc:
             context.failures.append((seed, str(exc)))
 
 
 @then("every promise held in each of them")
-def step_held(context):
+def step_no_failures(context):
     assert not context.failures, context.failures
 
 
-def schedule(seed):
+def run_schedule(seed):
     """Run one schedule: changes and reads among kills, cuts and losses."""
     rng = random.Random(seed)
     site = site_lib.Site(seed=seed)
@@ -393,7 +393,7 @@
 
 @then("every control VM returns version {version:d}")
 def step_read_version(context, version):
-    for declared in read_everywhere(context.site):
+    for declared in read_from_all(context.site):
         assert declared.version == version, declared.version
 
 
@@ -413,7 +413,7 @@
 
 
 @given("a calm version {version:d}")
-def step_calm_version(context, version):
+def step_commit_version(context, version):
     context.asks = [context.site.replace("c1", version)]
     context.site.run(1.5)
     assert context.site.acked[0] == version
@@ -427,9 +427,9 @@
 
 
 @when('a copy of its word reaches "{one}" and "{two}"')
-def step_founds(context, one, two):
+def step_bootstrap_requests(context, one, two):
     for name in (one, two):
-        context.site.post("c1", name, config_messages.Found())
+        context.site.post("c1", name, config_messages.BootstrapRequest())
 
 
 @when("an agent starts")
@@ -441,5 +441,5 @@
 def step_knows_agent(context):
     site = context.site
     for name, node in site.nodes.items():
-        found = node.roster.nodes.fresh("agent", site.now)
+        found = node.roster.nodes.live_nodes("agent", site.now)
         assert [agent.name for agent in found] == ["a1"], name
--- a/features/steps/recovery_steps.py
+++ b/features/steps/recovery_steps.py
@@ -16,7 +16,7 @@
 
 # Frames are sent this often until one arrives, seconds.
 SEND_SECONDS = 0.1
-SEARCH_SECONDS = 5.0
+CONNECT_TIMEOUT_SECONDS = 5.0
 
 
 def start_link(liveness, port):
@@ -32,74 +32,74 @@
     return made
 
 
-class DarkListener:
+class UnreachableListener:
     """A port at which opening packets are lost until ``begin``."""
 
     def __init__(self, context):
-        self.dark = socket.socket()
-        self.dark.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.dark.bind(("127.0.0.1", 0))
-        self.port = self.dark.getsockname()[1]
+        self.full_socket = socket.socket()
+        self.full_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self.full_socket.bind(("127.0.0.1", 0))
+        self.port = self.full_socket.getsockname()[1]
         # Nobody accepts, so that a full queue drops what comes.
-        self.dark.listen(0)
+        self.full_socket.listen(0)
         self.fillers = [socket.socket() for _ in range(3)]
         for filler in self.fillers:
             filler.setblocking(False)
             filler.connect_ex(("127.0.0.1", self.port))
         self.sock = context.socket(zmq.ROUTER)
-        self.found_s = None
+        self.connected_after_s = None
 
-    def begin(self):
-        for sock in (*self.fillers, self.dark):
+    def start(self):
+        for sock in (*self.fillers, self.full_socket):
             sock.close()
         self.sock.bind(f"tcp://127.0.0.1:{self.port}")
 
-    def look(self, since_s):
-        if self.found_s is None and self.sock.poll(0):
-            self.found_s = since_s
+    def poll_connection(self, since_s):
+        if self.connected_after_s is None and self.sock.poll(0):
+            self.connected_after_s = since_s
 
 
 @given("{count:d} VMs that are dark for {dark_s:g} s when others look for them")
-def step_dark(context, count, dark_s):
+def step_unreachable(context, count, dark_s):
     context.count = count
     context.dark_s = dark_s
 
 
 @when("they are looked for as by default, and without opening anew")
-def step_look(context):
+def step_connect(context):
     patient = link.Liveness(start_s=0.0)
     with zmq.Context() as sockets:
         looked = [
-            (way, DarkListener(sockets))
+            (way, UnreachableListener(sockets))
             for way in (link.Liveness(), patient)
             for _ in range(context.count)
         ]
-        search(looked, context.dark_s)
-        times = [one.found_s for _, one in looked]
+        measure_connect_times(looked, context.dark_s)
+        times = [one.connected_after_s for _, one in looked]
         for _, one in looked:
             one.sock.close(0)
     context.usual_s = statistics.median(times[: context.count])
     context.patient_s = statistics.median(times[context.count :])
 
 
-def search(looked, dark_s):
+def measure_connect_times(looked, dark_s):
     """Let each link send until its listener, which begins late, is found."""
     links = [start_link(way, one.port) for way, one in looked]
     start = time.monotonic()
     begun_at = None
-    while any(one.found_s is None for _, one in looked):
+    while any(one.connected_after_s is None for _, one in looked):
         now = time.monotonic()
-        assert now - start < SEARCH_SECONDS, "not found at all"
+        assert now - start < CONNECT_TIMEOUT_SECONDS, "not found at all"
         if begun_at is None and now - start >= dark_s:
             begun_at = now
             for _, one in looked:
-                one.begin()
+                one.start()
         for made in links:
             made.send("late", config_messages.Pull(held=0))
         time.sleep(SEND_SECONDS)
         if begun_at is not None:
             for _, one in looked:
-                one.look(time.monotonic() - begun_at)
+                one.poll_connection(time.monotonic() - begun_at)
     for made in links:
         made.stop()
 
@@ -110,7 +110,7 @@
     assert context.usual_s < share * context.patient_s, seen
 
 
-async def talk(listeners, away_s):
+async def send_one_frame_to_each(listeners, away_s):
     """Send each listener one frame; return how many have got theirs."""
     made = loop_link.LoopLink(
         name="talking",
@@ -122,14 +122,14 @@
     made.start()
     if not away_s:
         for listener in listeners:
-            listener.begin()
+            listener.start()
     for number, listener in enumerate(listeners):
         made.learn(f"n{number}", f"127.0.0.1:{listener.port}")
         made.send(f"n{number}", config_messages.Pull(held=0))
     await asyncio.sleep(away_s)
     if away_s:
         for listener in listeners:
-            listener.begin()
+            listener.start()
     await asyncio.sleep(0.5)
     made.stop()
     return sum(bool(listener.sock.poll(0)) for listener in listeners)
@@ -140,22 +140,22 @@
     context.count = count
 
 
-def send_each(context, away_s):
+def run_send_one_frame(context, away_s):
     with zmq.Context() as sockets:
-        listeners = [DarkListener(sockets) for _ in range(context.count)]
-        context.got = asyncio.run(talk(listeners, away_s))
+        listeners = [UnreachableListener(sockets) for _ in range(context.count)]
+        context.got = asyncio.run(send_one_frame_to_each(listeners, away_s))
         for listener in listeners:
             listener.sock.close(0)
 
 
 @when("each of them is sent one frame")
 def step_one_frame(context):
-    send_each(context, 0.0)
+    run_send_one_frame(context, 0.0)
 
 
 @when("each of them is sent one frame {seconds:g} s before it comes up")
 def step_one_frame_early(context, seconds):
-    send_each(context, seconds)
+    run_send_one_frame(context, seconds)
 
 
 @then("each of them has got it")
--- a/jasperweir/components/configctl/founding.py
+++ b/jasperweir/components/configctl/bootstrap_election.py
@@ -9,7 +9,7 @@
 from jasperweir.components.configctl import const
 
 
-class Founding:
+class BootstrapElection:
     """The decision, at the control VM that has it."""
 
     def __init__(
@@ -17,17 +17,17 @@
     ) -> None:
         self._decides = decides
         self._founder = name if has_disk else ""
-        self._holders: set[str] = set()
-        self._decides_at = now + const.FOUNDER_WAIT_SECONDS
+        self._candidates: set[str] = set()
+        self._deadline = now + const.BOOTSTRAP_WAIT_SECONDS
 
     def on_applicant(self, name: str) -> None:
         """Note a control VM with a disk that asks for a seat."""
-        self._holders.add(name)
+        self._candidates.add(name)
 
-    def founder(self, now: float) -> str:
+    def choose_founder(self, now: float) -> str:
         """Return who founds the log, or an empty string."""
         if not self._decides:
             return ""
-        if not self._founder and now >= self._decides_at:
-            self._founder = min(self._holders, default="")
+        if not self._founder and now >= self._deadline:
+            self._founder = min(self._candidates, default="")
         return self._founder
--- a/jasperweir/components/configctl/const.py
+++ b/jasperweir/components/configctl/const.py
@@ -11,15 +11,15 @@
 REFRESH_SECONDS = 10.0
 # A change that was sent to all has arrived after this long: some milliseconds
 # on a sound link; a packet that is lost comes again after 0.2 to 0.4 s.
-CHANGE_ARRIVES_SECONDS = 0.5
+CHANGE_DELIVERY_SECONDS = 0.5
 # And a whole list that was sent after this long, on a link that 10 nodes
 # share; a node that lacks it gets it again.
 RESEND_LIST_SECONDS = 0.5
 # An operator waits a second for an answer; this is when it is told to ask
 # again, and when a question is dropped.
-ANSWER_SECONDS = 0.85
+REQUEST_TIMEOUT_SECONDS = 0.85
 # A question is sent again to the leader after this long.
-RESEND_SECONDS = 0.3
+RESEND_REQUEST_SECONDS = 0.3
 # Large bodies are compressed at this zlib level: 1 is the fastest.
 COMPRESS_LEVEL = 1
 # Entries of the log that a snapshot replaces; each holds a configuration.
@@ -31,9 +31,9 @@
 SEATS_WAIT_SECONDS = 5.0
 # Where the control VM that decides on the founder has no disk, it hears for so
 # long who has one; all start within a third of a second.
-FOUNDER_WAIT_SECONDS = 1.5
+BOOTSTRAP_WAIT_SECONDS = 1.5
 # A process that asked for a seat longer ago than this is not considered.
-HELLO_FRESH_SECONDS = 2.5
+SEAT_REQUEST_TTL_SECONDS = 2.5
 # Time that the acknowledgement of a leaving target waits for a second
 # control VM to know of it.
-NEWS_SECONDS = 0.5
+NEWS_ACK_TIMEOUT_SECONDS = 0.5
--- a/jasperweir/components/configctl/digests.py
+++ b/jasperweir/components/configctl/digest_tracker.py
@@ -3,7 +3,7 @@
 from jasperweir.components.configctl import const
 
 
-class Told:
+class DigestTracker:
     """Digests of one list that others are told of, change by change.
 
     A change goes to all at once, so a node that states the digest of a moment
@@ -15,30 +15,30 @@
     def __init__(self) -> None:
         self._current = 0
         # Earlier digests, with when each was replaced.
-        self._replaced: dict[int, float] = {}
-        self._sent: dict[str, float] = {}
+        self._replaced_at: dict[int, float] = {}
+        self._list_sent_at: dict[str, float] = {}
 
-    def note(self, digest: int, now: float) -> None:
+    def set_current(self, digest: int, now: float) -> None:
         """Take in the digest in force."""
         if digest == self._current:
             return
-        for old, at in list(self._replaced.items()):
-            if now - at >= const.CHANGE_ARRIVES_SECONDS:
-                del self._replaced[old]
+        for old, at in list(self._replaced_at.items()):
+            if now - at >= const.CHANGE_DELIVERY_SECONDS:
+                del self._replaced_at[old]
         if self._current:
-            self._replaced[self._current] = now
-        self._replaced.pop(digest, None)
+            self._replaced_at[self._current] = now
+        self._replaced_at.pop(digest, None)
         self._current = digest
 
-    def lacks(self, name: str, digest: int, now: float) -> bool:
+    def needs_full_list(self, name: str, digest: int, now: float) -> bool:
         """Tell whether a node is to be sent the whole list now."""
         if digest == self._current:
             return False
-        replaced_at = self._replaced.get(digest, float("-inf"))
-        if now - replaced_at < const.CHANGE_ARRIVES_SECONDS:
+        replaced_at = self._replaced_at.get(digest, float("-inf"))
+        if now - replaced_at < const.CHANGE_DELIVERY_SECONDS:
             return False
-        sent_at = self._sent.get(name, float("-inf"))
+        sent_at = self._list_sent_at.get(name, float("-inf"))
         if now - sent_at < const.RESEND_LIST_SECONDS:
             return False
-        self._sent[name] = now
+        self._list_sent_at[name] = now
         return True
--- a/jasperweir/components/configctl/door.py
+++ b/jasperweir/components/configctl/door.py
@@ -84,7 +84,7 @@
         """Return the answer to a call that was not carried out."""
 
 
-def checked(call: Call) -> Call:
+def validate_call(call: Call) -> Call:
     """Return a call, or what makes its configuration invalid."""
     if not isinstance(call, Replace):
         return call
--- a/jasperweir/components/configctl/messages.py
+++ b/jasperweir/components/configctl/messages.py
@@ -6,7 +6,7 @@
 
 
 @codec.message("configctl.replace_ask")
-class ReplaceAsk(NamedTuple):
+class ReplaceRequest(NamedTuple):
     """A control VM hands an operator's configuration to the leader."""
 
     number: int
@@ -15,7 +15,7 @@
 
 
 @codec.message("configctl.replace_answer")
-class ReplaceAnswer(NamedTuple):
+class ReplaceReply(NamedTuple):
     """The leader has committed a configuration or holds a higher one."""
 
     number: int
@@ -23,7 +23,7 @@
 
 
 @codec.message("configctl.read_ask")
-class ReadAsk(NamedTuple):
+class ReadRequest(NamedTuple):
     """A control VM asks the leader which version is the newest."""
 
     number: int
@@ -31,7 +31,7 @@
 
 
 @codec.message("configctl.read_answer")
-class ReadAnswer(NamedTuple):
+class ReadReply(NamedTuple):
     """The newest version; its content if the asker does not hold it."""
 
     number: int
@@ -40,7 +40,7 @@
 
 
 @codec.message("configctl.found")
-class Found(NamedTuple):
+class BootstrapRequest(NamedTuple):
     """A control VM without a disk names the one that founds the log."""
 
 
--- a/jasperweir/components/configctl/node.py
+++ b/jasperweir/components/configctl/node.py
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 
 from jasperweir import core
+from jasperweir.components.configctl import bootstrap_election as bootstrap_lib
 from jasperweir.components.configctl import const
-from jasperweir.components.configctl import founding as founding_lib
 from jasperweir.components.configctl import messages
 from jasperweir.components.configctl import roster as roster_lib
 from jasperweir.components.configctl import seats as seats_lib
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Pending:
+class PendingRequest:
     """A question that waits for the leader's answer.
 
     Attributes:
@@ -53,13 +53,13 @@
         sent_to: Leader that has it, with the time, for sending it again.
     """
 
-    ask: messages.ReplaceAsk | messages.ReadAsk
-    until: float
+    request: messages.ReplaceRequest | messages.ReadRequest
+    expires_at: float
     sent_to: str = ""
     sent_at: float = 0.0
 
 
-class Waiting(NamedTuple):
+class Waiter(NamedTuple):
     """Somebody who waits until an operation is committed."""
 
     src: str
@@ -88,27 +88,27 @@
         self.name = name
         self.voter = voter
         self.machine = machine_lib.Machine()
-        self._wanted = wanted_seats
+        self._wanted_seats = wanted_seats
         voter.wanted_voters = wanted_seats
         # Without a disk it asks for no seat, and passes questions on.
         self._has_disk = has_disk
-        self._founding: founding_lib.Founding | None = None
+        self._bootstrap_election: bootstrap_lib.BootstrapElection | None = None
         others = tuple(seed for seed in seeds if seed != name)
         # Members without which nothing is taken in, even where the
         # deployment turns out to have fewer control VMs than are wanted.
-        self._least = min(wanted_seats, 1 + len(others))
-        self._numbers = itertools.count(1)
+        self._min_seats = min(wanted_seats, 1 + len(others))
+        self._request_numbers = itertools.count(1)
         self.roster = roster_lib.Roster(
             name=name,
             place=place,
             seeds=others,
-            numbers=self._numbers,
+            numbers=self._request_numbers,
             keeps_log=has_disk,
         )
-        self._pending: dict[int, Pending] = {}
-        self._waiting: dict[str, list[Waiting]] = {}
+        self._pending: dict[int, PendingRequest] = {}
+        self._waiters: dict[str, list[Waiter]] = {}
         self._applicants: dict[str, seats_lib.Applicant] = {}
-        self._hello_at = 0.0
+        self._next_hello_at = 0.0
         if voter.snapshot.idx:
             self.machine.load(voter.snapshot.data)
 
@@ -116,56 +116,58 @@
 
     def replace(
         self, version: int, data: bytes, now: float
-    ) -> roster_lib.Asked:
+    ) -> roster_lib.StartedRequest:
         """Commit a configuration; a Replaced or Unconfirmed follows."""
-        number = next(self._numbers)
-        ask = messages.ReplaceAsk(number=number, version=version, data=data)
-        return self._ask(number, ask, now)
+        number = next(self._request_numbers)
+        request = messages.ReplaceRequest(
+            number=number, version=version, data=data
+        )
+        return self._start_request(number, request, now)
 
-    def describe(self, now: float) -> roster_lib.Asked:
+    def describe(self, now: float) -> roster_lib.StartedRequest:
         """Read the newest; a Described or Unconfirmed follows."""
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         held = self.machine.declared().version
-        return self._ask(
-            number, messages.ReadAsk(number=number, held=held), now
+        return self._start_request(
+            number, messages.ReadRequest(number=number, held=held), now
         )
 
     # Inputs.
 
     def tick(self, now: float) -> Actions:
         """Let time pass."""
-        out = self._absorb(self.voter.tick(now), now)
-        out += self._drive_seats(now)
-        out += self._drive_pending(now)
-        out += self.roster.tick(self._facts(now), now)
-        if self._founding is not None:
-            out += self._drive_founding(self._founding, now)
-        if self._has_disk and self._may_lack_seat:
-            out += self._ask_for_seat(now)
+        out = self._process_actions(self.voter.tick(now), now)
+        out += self._update_seats(now)
+        out += self._send_pending(now)
+        out += self.roster.tick(self._log_status(now), now)
+        if self._bootstrap_election is not None:
+            out += self._run_bootstrap_election(self._bootstrap_election, now)
+        if self._has_disk and self._may_need_seat:
+            out += self._request_seat(now)
         return out + self._compact()
 
     def receive(self, src: str, msg: Any, now: float) -> Actions:
         """Handle a message from any process."""
         match msg:
-            case messages.ReplaceAsk():
-                return self._on_replace_ask(src, msg, now)
-            case messages.ReadAsk():
-                return self._on_read_ask(src, msg, now)
-            case messages.ReplaceAnswer() | messages.ReadAnswer():
-                return self._on_answer(msg)
+            case messages.ReplaceRequest():
+                return self._on_replace_request(src, msg, now)
+            case messages.ReadRequest():
+                return self._on_read_request(src, msg, now)
+            case messages.ReplaceReply() | messages.ReadReply():
+                return self._on_reply(msg)
             case messages.Pull():
-                return self._on_pull(src, msg)
+                return self._on_content_request(src, msg)
             case quorum_messages.Hello():
                 self._applicants[src] = seats_lib.Applicant(
                     name=src, disk=msg.disk, addr=msg.addr, asked_at=now
                 )
-                if self._founding is not None:
-                    self._founding.on_applicant(src)
-            case messages.Found():
-                return self._on_found()
+                if self._bootstrap_election is not None:
+                    self._bootstrap_election.on_applicant(src)
+            case messages.BootstrapRequest():
+                return self._on_bootstrap_request()
         if type(msg).__module__ == quorum_messages.__name__:
-            return self._absorb(self.voter.receive(src, msg, now), now)
-        return self.roster.receive(src, msg, self._facts(now), now)
+            return self._process_actions(self.voter.receive(src, msg, now), now)
+        return self.roster.receive(src, msg, self._log_status(now), now)
 
     def restore(self, commit_hint: int, side: bytes, now: float) -> Actions:
         """Take up what was committed and announced before a restart.
@@ -177,32 +179,34 @@
         """
         if side:
             self.roster.restore(side, now)
-        return self._absorb(self.voter.restore_commit(commit_hint), now)
+        return self._process_actions(
+            self.voter.restore_commit(commit_hint), now
+        )
 
     def begin_founding(self, *, decides: bool, now: float) -> None:
         """Take part in founding the log, at the system's first start."""
-        self._founding = founding_lib.Founding(
+        self._bootstrap_election = bootstrap_lib.BootstrapElection(
             name=self.name, has_disk=self._has_disk, decides=decides, now=now
         )
 
-    def _drive_founding(
-        self, founding: founding_lib.Founding, now: float
+    def _run_bootstrap_election(
+        self, election: bootstrap_lib.BootstrapElection, now: float
     ) -> Actions:
         if not self._is_blank or self._leader(now).name:
-            self._founding = None
+            self._bootstrap_election = None
             return []
-        founder = founding.founder(now)
+        founder = election.choose_founder(now)
         if not founder:
             return []
         if founder == self.name:
-            return self._on_found()
-        return [core.Send(dst=founder, msg=messages.Found())]
+            return self._on_bootstrap_request()
+        return [core.Send(dst=founder, msg=messages.BootstrapRequest())]
 
-    def _on_found(self) -> Actions:
+    def _on_bootstrap_request(self) -> Actions:
         """Found a new log with this disk as its only member."""
-        if self._founding is None or not self._is_blank:
+        if self._bootstrap_election is None or not self._is_blank:
             return []
-        self._founding = None
+        self._bootstrap_election = None
         return self.voter.bootstrap(self.name)
 
     @property
@@ -210,7 +214,7 @@
         return not self.voter.log.last_index and not self.voter.term
 
     @property
-    def _may_lack_seat(self) -> bool:
+    def _may_need_seat(self) -> bool:
         """Whether it has no voting seat, or none any more.
 
         One that was cut off may have lost its seat meanwhile, and nobody tells
@@ -218,10 +222,10 @@
         """
         return not self.voter.is_voting or not self.voter.leader
 
-    def _ask_for_seat(self, now: float) -> Actions:
-        if now < self._hello_at:
+    def _request_seat(self, now: float) -> Actions:
+        if now < self._next_hello_at:
             return []
-        self._hello_at = now + quorum_const.HELLO_SECONDS
+        self._next_hello_at = now + quorum_const.HELLO_SECONDS
         hello = quorum_messages.Hello(disk=self.voter.disk, addr=self.name)
         return [core.Send(dst=n, msg=hello) for n in self.roster.peers()]
 
@@ -229,11 +233,11 @@
         """Return the leader, from other control VMs where no seat is held."""
         if self._has_disk:
             return roster_lib.Leader(self.voter.leader, self.voter.term)
-        return self.roster.heard_leader(now)
+        return self.roster.reported_leader(now)
 
-    def _facts(self, now: float) -> roster_lib.Facts:
+    def _log_status(self, now: float) -> roster_lib.LogStatus:
         leader = self._leader(now)
-        return roster_lib.Facts(
+        return roster_lib.LogStatus(
             version=self.machine.declared().version,
             certain=self.voter.read_index(now) is not None,
             leader=leader.name,
@@ -243,59 +247,67 @@
 
     def hand_over(self, now: float) -> Actions:
         """Give the lead to another member before a planned stop."""
-        return self._absorb(self.voter.hand_over(now), now)
+        return self._process_actions(self.voter.hand_over(now), now)
 
     # Questions and their way to the leader.
 
-    def _ask(
-        self, number: int, ask: messages.ReplaceAsk | messages.ReadAsk,
+    def _start_request(
+        self,
+        number: int,
+        request: messages.ReplaceRequest | messages.ReadRequest,
         now: float,
-    ) -> roster_lib.Asked:  # fmt: skip
-        until = now + const.ANSWER_SECONDS
-        self._pending[number] = Pending(ask=ask, until=until)
-        return roster_lib.Asked(number, self._drive_pending(now))
+    ) -> roster_lib.StartedRequest:
+        expires_at = now + const.REQUEST_TIMEOUT_SECONDS
+        self._pending[number] = PendingRequest(
+            request=request, expires_at=expires_at
+        )
+        return roster_lib.StartedRequest(number, self._send_pending(now))
 
-    def _drive_pending(self, now: float) -> Actions:
+    def _send_pending(self, now: float) -> Actions:
         out: Actions = []
         leader = self._leader(now).name
         for number, pending in list(self._pending.items()):
-            if now >= pending.until:
+            if now >= pending.expires_at:
                 del self._pending[number]
                 out.append(roster_lib.Unconfirmed(number=number))
                 continue
-            due = now - pending.sent_at > const.RESEND_SECONDS
+            due = now - pending.sent_at > const.RESEND_REQUEST_SECONDS
             if not leader or (pending.sent_to == leader and not due):
                 continue
             pending.sent_to = leader
             pending.sent_at = now
             if leader != self.name:
-                out.append(core.Send(dst=leader, msg=pending.ask))
+                out.append(core.Send(dst=leader, msg=pending.request))
                 continue
-            match pending.ask:
-                case messages.ReplaceAsk():
-                    out += self._on_replace_ask(self.name, pending.ask, now)
-                case messages.ReadAsk():
-                    out += self._on_read_ask(self.name, pending.ask, now)
+            match pending.request:
+                case messages.ReplaceRequest():
+                    out += self._on_replace_request(
+                        self.name, pending.request, now
+                    )
+                case messages.ReadRequest():
+                    out += self._on_read_request(
+                        self.name, pending.request, now
+                    )
         return out
 
-    def _on_replace_ask(
-        self, src: str, msg: messages.ReplaceAsk, now: float
+    def _on_replace_request(
+        self, src: str, msg: messages.ReplaceRequest, now: float
     ) -> Actions:
         if self.voter.read_index(now) is None:
             return []
         held = self.machine.declared().version
         if msg.version <= held:
-            answer = messages.ReplaceAnswer(number=msg.number, version=held)
-            return self._answer(src, answer)
-        if not self._enough_seats(now):
+            reply = messages.ReplaceReply(number=msg.number, version=held)
+            return self._send_reply(src, reply)
+        if not self._has_enough_seats(now):
             return []
         digest = hashing.checksum(msg.data)
         op_id = f"replace/{msg.version}/{digest:x}"
-        waiting = Waiting(src=src, number=msg.number)
-        waiters = self._waiting.setdefault(op_id, [])
-        if waiting in waiters:
+        waiter = Waiter(src=src, number=msg.number)
+        waiters = self._waiters.setdefault(op_id, [])
+        if waiter in waiters:
             return []
-        waiters.append(waiting)
+        waiters.append(waiter)
         if len(waiters) > 1:
             return []
         op = ops.Replace(version=msg.version, data=msg.data)
@@ -304,11 +316,11 @@
         )
         index, out = self.voter.propose(codec.pack(req), now)
         if not index:
-            del self._waiting[op_id]
-        return self._absorb(out, now)
+            del self._waiters[op_id]
+        return self._process_actions(out, now)
 
-    def _on_read_ask(
-        self, src: str, msg: messages.ReadAsk, now: float
+    def _on_read_request(
+        self, src: str, msg: messages.ReadRequest, now: float
     ) -> Actions:
         if self.voter.read_index(now) is None:
             return []
@@ -316,29 +328,29 @@
         if not declared.version:
             return []
         data = b"" if msg.held == declared.version else declared.data
-        answer = messages.ReadAnswer(
+        reply = messages.ReadReply(
             number=msg.number, version=declared.version, data=data
         )
-        return self._answer(src, answer)
+        return self._send_reply(src, reply)
 
-    def _answer(
-        self, dst: str, answer: messages.ReplaceAnswer | messages.ReadAnswer
+    def _send_reply(
+        self, dst: str, reply: messages.ReplaceReply | messages.ReadReply
     ) -> Actions:
         if dst == self.name:
-            return self._on_answer(answer)
-        return [core.Send(dst=dst, msg=answer)]
+            return self._on_reply(reply)
+        return [core.Send(dst=dst, msg=reply)]
 
-    def _on_answer(
-        self, msg: messages.ReplaceAnswer | messages.ReadAnswer
+    def _on_reply(
+        self, msg: messages.ReplaceReply | messages.ReadReply
     ) -> Actions:
         pending = self._pending.get(msg.number)
         if pending is None:
             return []
         match msg:
-            case messages.ReplaceAnswer():
+            case messages.ReplaceReply():
                 del self._pending[msg.number]
                 return [Replaced(number=msg.number, version=msg.version)]
-            case messages.ReadAnswer():
+            case messages.ReadReply():
                 declared = ops.Declared(version=msg.version, data=msg.data)
                 if not msg.data:
                     declared = self.machine.declared()
@@ -347,21 +359,21 @@
                 del self._pending[msg.number]
                 return [Described(number=msg.number, declared=declared)]
 
-    def _enough_seats(self, now: float) -> bool:
+    def _has_enough_seats(self, now: float) -> bool:
         """Tell whether the loss that is to be borne leaves a majority.
 
         The seeds name three control VMs at most, so the others are waited
         for; after a while there are none.
         """
         voting = [s for s in self.voter.seats.seats if s.voting]
-        if len(voting) >= self._wanted:
+        if len(voting) >= self._wanted_seats:
             return True
         waited = now - self.voter.leader_since >= const.SEATS_WAIT_SECONDS
-        return waited and len(voting) >= self._least
+        return waited and len(voting) >= self._min_seats
 
     # Committed entries.
 
-    def _absorb(self, acts: Actions, now: float) -> Actions:
+    def _process_actions(self, acts: Actions, now: float) -> Actions:
         out: Actions = []
         for act in acts:
             match act:
@@ -370,10 +382,10 @@
                 case actions.Restore():
                     before = self.machine.declared().version
                     self.machine.load(act.snapshot.data)
-                    out += self._version_news(before)
+                    out += self._announce_version(before)
                 case actions.RoleChanged():
                     if act.role != voter_lib.LEADER:
-                        self._waiting.clear()
+                        self._waiters.clear()
                     out.append(act)
                 case _:
                     out.append(act)
@@ -388,15 +400,15 @@
                 continue
             answer = self.machine.apply(entry.idx, entry.data)
             op_id = codec.unpack(entry.data, ops.Request).op_id
-            for waiting in self._waiting.pop(op_id, ()):
-                reply = messages.ReplaceAnswer(
-                    number=waiting.number, version=answer.version
+            for waiter in self._waiters.pop(op_id, ()):
+                reply = messages.ReplaceReply(
+                    number=waiter.number, version=answer.version
                 )
-                out += self._answer(waiting.src, reply)
+                out += self._send_reply(waiter.src, reply)
         # Nodes are told first, then the operator's answer leaves.
-        return self._version_news(before) + out
+        return self._announce_version(before) + out
 
-    def _version_news(self, before: int) -> Actions:
+    def _announce_version(self, before: int) -> Actions:
         version = self.machine.declared().version
         if version <= before:
             return []
@@ -408,7 +420,7 @@
         ]
         return out
 
-    def _on_pull(self, src: str, msg: messages.Pull) -> Actions:
+    def _on_content_request(self, src: str, msg: messages.Pull) -> Actions:
         declared = self.machine.declared()
         if declared.version <= msg.held:
             return []
@@ -423,7 +435,7 @@
 
     # Seats.
 
-    def _drive_seats(self, now: float) -> Actions:
+    def _update_seats(self, now: float) -> Actions:
         if not self.voter.has_lease(now):
             return []
         heard_at = {}
@@ -432,14 +444,14 @@
             if progress is not None:
                 since = self.voter.leader_since
                 heard_at[seat.name] = max(progress.acked_at, since)
-        change = seats_lib.next_seats(
+        change = seats_lib.next_seat_change(
             seats=self.voter.seats,
             applicants=list(self._applicants.values()),
             heard_at=heard_at,
-            wanted=self._wanted,
+            wanted=self._wanted_seats,
             now=now,
         )
         if change is None:
             return []
         _, out = self.voter.change_seats(change, now)
-        return self._absorb(out, now)
+        return self._process_actions(out, now)
--- a/jasperweir/components/configctl/nodes.py
+++ b/jasperweir/components/configctl/node_tracker.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from jasperweir import core
-from jasperweir.components.configctl import digests
+from jasperweir.components.configctl import digest_tracker
 from jasperweir.components.directory import const as directory_const
 from jasperweir.components.directory import records
 from jasperweir.helpers import codec
@@ -18,14 +18,14 @@
 Actions = list[Any]
 
 
-class Heard(NamedTuple):
+class NodeReport(NamedTuple):
     """A node's record and when it last beat."""
 
     node: records.Node
-    at: float
+    heard_at: float
 
 
-class Nodes:
+class NodeTracker:
     """Who beats here, and which entries callers may use.
 
     Attributes:
@@ -35,86 +35,86 @@
 
     def __init__(self) -> None:
         self.digest = 0
-        self.is_due = False
-        self._heard: dict[str, Heard] = {}
-        self._open: dict[str, records.Node] = {}
-        self._told = digests.Told()
+        self.has_changes = False
+        self._reports: dict[str, NodeReport] = {}
+        self._open_entries: dict[str, records.Node] = {}
+        self._digest_tracker = digest_tracker.DigestTracker()
 
-    def on_beat(self, name: str, node: records.Node, now: float) -> bool:
+    def on_heartbeat(self, name: str, node: records.Node, now: float) -> bool:
         """Take in a beat; return whether it is newer than the last one."""
-        known = self._heard.get(name)
-        if known is not None and _older(node, known.node):
+        known = self._reports.get(name)
+        if known is not None and _is_older(node, known.node):
             return False
-        self._heard[name] = Heard(node=node, at=now)
+        self._reports[name] = NodeReport(node=node, heard_at=now)
         if known is None or known.node.open != node.open:
-            self.is_due = True
+            self.has_changes = True
         return True
 
     def entry_names(self) -> list[str]:
         """Return the entries that beat here; agents route nothing."""
         return [
             name
-            for name, heard in self._heard.items()
-            if heard.node.kind == directory_const.KIND_ENTRY
+            for name, report in self._reports.items()
+            if report.node.kind == directory_const.KIND_ENTRY
         ]
 
-    def place_of(self, name: str) -> str:
+    def get_place(self, name: str) -> str:
         """Return the data centre of a node that beats here."""
-        return self._heard[name].node.place
+        return self._reports[name].node.place
 
-    def fresh(self, kind: str, now: float) -> list[records.Node]:
+    def live_nodes(self, kind: str, now: float) -> list[records.Node]:
         """Return the nodes of a kind that have beaten of late."""
         silent_s = directory_const.NODE_SILENT_SECONDS
         if kind == directory_const.KIND_AGENT:
             silent_s = directory_const.AGENT_SILENT_SECONDS
         return [
-            heard.node
-            for heard in self._heard.values()
-            if heard.node.kind == kind and now - heard.at < silent_s
+            report.node
+            for report in self._reports.values()
+            if report.node.kind == kind and now - report.heard_at < silent_s
         ]
 
-    def forget_silent(self, now: float) -> None:
+    def remove_silent(self, now: float) -> None:
         """Forget nodes that have been silent for long."""
-        for name, heard in list(self._heard.items()):
-            if now - heard.at > directory_const.NODE_FORGET_SECONDS:
-                del self._heard[name]
+        for name, report in list(self._reports.items()):
+            if now - report.heard_at > directory_const.NODE_FORGET_SECONDS:
+                del self._reports[name]
 
-    def tell(self, now: float) -> Actions:
+    def publish_changes(self, now: float) -> Actions:
         """Tell the entries which of them callers may use, where it changed.
 
         The whole list went to all with each change: of 103 entries that start
         together, 5 KB to each for each.
         """
-        self.is_due = False
-        before = self._open
-        self._open = {
+        self.has_changes = False
+        before = self._open_entries
+        self._open_entries = {
             node.name: node._replace(sequence=0, incarnation=0)
-            for node in self.fresh(directory_const.KIND_ENTRY, now)
+            for node in self.live_nodes(directory_const.KIND_ENTRY, now)
             if node.open
         }
-        changed = _changes(before, self._open)
+        changed = _changed_nodes(before, self._open_entries)
         if not changed:
             return []
         old_digest = self.digest
-        rows = sorted(self._open.values())
+        rows = sorted(self._open_entries.values())
         self.digest = hashing.checksum(codec.pack(rows)) >> 1
-        self._told.note(self.digest, now)
+        self._digest_tracker.set_current(self.digest, now)
         news = records.NodeNews(
             before=old_digest, after=self.digest, nodes=tuple(changed)
         )
         return [core.Send(dst=name, msg=news) for name in self.entry_names()]
 
-    def missed_by(self, name: str, digest: int, now: float) -> Actions:
+    def resend_list(self, name: str, digest: int, now: float) -> Actions:
         """Send an entry the whole list if its digest shows that it needs it."""
-        if not self._told.lacks(name, digest, now):
+        if not self._digest_tracker.needs_full_list(name, digest, now):
             return []
         nodes = records.Nodes(
-            digest=self.digest, nodes=tuple(self._open.values())
+            digest=self.digest, nodes=tuple(self._open_entries.values())
         )
         return [core.Send(dst=name, msg=nodes)]
 
 
-def _changes(
+def _changed_nodes(
     before: dict[str, records.Node], after: dict[str, records.Node]
 ) -> list[records.Node]:
     """Return what is new or different, and as not open what has left."""
@@ -127,6 +127,6 @@
     return changed
 
 
-def _older(new: records.Node, known: records.Node) -> bool:
+def _is_older(new: records.Node, known: records.Node) -> bool:
     same = new.incarnation == known.incarnation
     return same and new.sequence < known.sequence
--- a/jasperweir/components/configctl/roster.py
+++ b/jasperweir/components/configctl/roster.py
@@ -10,8 +10,8 @@
 
 from jasperweir import core
 from jasperweir.components.configctl import const
-from jasperweir.components.configctl import digests as digests_lib
-from jasperweir.components.configctl import nodes as nodes_lib
+from jasperweir.components.configctl import digest_tracker
+from jasperweir.components.configctl import node_tracker
 from jasperweir.components.directory import const as directory_const
 from jasperweir.components.directory import directory as directory_lib
 from jasperweir.components.directory import records
@@ -34,7 +34,7 @@
     number: int
 
 
-class Asked(NamedTuple):
+class StartedRequest(NamedTuple):
     """A question's number and what is to be done for it now."""
 
     number: int
@@ -48,7 +48,7 @@
     term: int
 
 
-class Facts(NamedTuple):
+class LogStatus(NamedTuple):
     """What a control VM's log says, for its beats.
 
     Attributes:
@@ -95,58 +95,62 @@
         """
         self.directory = directory_lib.Directory()
         self.controls: dict[str, float] = {}
-        self.nodes = nodes_lib.Nodes()
+        self.nodes = node_tracker.NodeTracker()
         self._name = name
         self._place = place
         self._seeds = seeds
-        self._numbers = numbers
+        self._request_numbers = numbers
         self._keeps_log = keeps_log
         self._seats = quorum_messages.Seats()
         # What each other control VM told last.
-        self._beats_of: dict[str, records.ControlBeat] = {}
-        self._news: dict[int, float] = {}
-        self._targets_told = digests_lib.Told()
+        self._control_beats: dict[str, records.ControlBeat] = {}
+        self._unacked_news: dict[int, float] = {}
+        self._digest_tracker = digest_tracker.DigestTracker()
         # Targets that announced themselves here since the last refresh.
-        self._heard_here: set[str] = set()
-        self._beat_at = 0.0
-        self._refresh_at = 0.0
+        self._announced_targets: set[str] = set()
+        self._next_beat_at = 0.0
+        self._next_refresh_at = 0.0
 
     # Targets.
 
-    def announce(self, target: records.Target, now: float) -> Asked:
+    def announce(self, target: records.Target, now: float) -> StartedRequest:
         """Take in a target's heartbeat; Acknowledged follows."""
         before = self.directory.get(target.target_id)
         digest = self.directory.digest
         changed = self.directory.merge(target, now)
-        self._heard_here.add(target.target_id)
+        self._announced_targets.add(target.target_id)
         after = self.directory.get(target.target_id)
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         if after is None or not changed:
-            return Asked(number, [Acknowledged(number=number)])
+            return StartedRequest(number, [Acknowledged(number=number)])
         known = before is not None and before.presence is after.presence
-        return self._spread(after, digest, now, wait=not known)
+        return self._broadcast_target(after, digest, now, wait=not known)
 
-    def deregister(self, target_id: str, now: float, born: int = 0) -> Asked:
+    def deregister(
+        self, target_id: str, now: float, born: int = 0
+    ) -> StartedRequest:
         """Note that a target has gone; Acknowledged follows."""
         digest = self.directory.digest
         gone = self.directory.leave(target_id, now, born)
-        return self._spread(gone, digest, now, wait=True)
+        return self._broadcast_target(gone, digest, now, wait=True)
 
     # Inputs.
 
-    def tick(self, facts: Facts, now: float) -> Actions:
+    def tick(self, facts: LogStatus, now: float) -> Actions:
         """Let time pass."""
         self._seats = facts.seats
         self.directory.tick(now)
-        out = self._expire_news(now)
-        if self.nodes.is_due:
-            out += self.nodes.tell(now)
-        if now >= self._beat_at:
-            self._beat_at = now + const.BEAT_SECONDS
-            out += self._beats(facts, now)
+        out = self._expire_unacked_news(now)
+        if self.nodes.has_changes:
+            out += self.nodes.publish_changes(now)
+        if now >= self._next_beat_at:
+            self._next_beat_at = now + const.BEAT_SECONDS
+            out += self._send_beats(facts, now)
         return out
 
-    def receive(self, src: str, msg: Any, facts: Facts, now: float) -> Actions:
+    def receive(
+        self, src: str, msg: Any, facts: LogStatus, now: float
+    ) -> Actions:
         """Handle a message of another control VM, an entry or an agent."""
         match msg:
             case records.ControlBeat():
@@ -158,7 +162,7 @@
             case records.News():
                 return self._on_news(src, msg, now)
             case records.NewsAck():
-                if self._news.pop(msg.number, None) is not None:
+                if self._unacked_news.pop(msg.number, None) is not None:
                     return [Acknowledged(number=msg.number)]
         return []
 
@@ -170,7 +174,7 @@
 
     # Queries.
 
-    def side_state(self, now: float) -> bytes:
+    def soft_state(self, now: float) -> bytes:
         """Return what may be lost, but makes a restart quicker."""
         return codec.pack(self._all_targets(now))
 
@@ -182,16 +186,20 @@
         names.pop(self._name, None)
         return list(names)
 
-    def _keepers(self, facts: Facts, now: float) -> tuple[str, ...]:
+    def _advertised_controls(
+        self, facts: LogStatus, now: float
+    ) -> tuple[str, ...]:
         """Return the control VMs that nodes are to talk to."""
         names = {self._name: None} if self._keeps_log else {}
         names.update({seat.name: None for seat in facts.seats.seats})
-        for name, beat in self._beats_of.items():
-            if beat.keeps_log and self._is_heard(name, now):
+        for name, beat in self._control_beats.items():
+            if beat.keeps_log and self._is_live(name, now):
                 names[name] = None
         return tuple(names)
 
-    def near_keepers(self, now: float, fresh_s: float) -> dict[str, str]:
+    def log_holders_by_place(
+        self, now: float, fresh_s: float
+    ) -> dict[str, str]:
         """Return a control VM that keeps the log for each other data centre.
 
         Args:
@@ -200,75 +208,76 @@
         """
         return {
             beat.place: name
-            for name, beat in sorted(self._beats_of.items())
+            for name, beat in sorted(self._control_beats.items())
             if beat.keeps_log
             and beat.place != self._place
             and now - self.controls[name] < fresh_s
         }
 
-    def _is_heard(self, name: str, now: float) -> bool:
+    def _is_live(self, name: str, now: float) -> bool:
         return now - self.controls[name] < const.CONTROL_SILENT_SECONDS
 
-    def heard_leader(self, now: float) -> Leader:
+    def reported_leader(self, now: float) -> Leader:
         """Return the newest leader that other control VMs tell of."""
         told = [
             Leader(beat.leader, beat.term)
-            for name, beat in self._beats_of.items()
-            if beat.leader and self._is_heard(name, now)
+            for name, beat in self._control_beats.items()
+            if beat.leader and self._is_live(name, now)
         ]
         return max(told, key=lambda leader: leader.term, default=Leader("", 0))
 
     # Other control VMs and nodes.
 
-    def _beats(self, facts: Facts, now: float) -> Actions:
-        self.nodes.forget_silent(now)
-        out = self.nodes.tell(now)
+    def _send_beats(self, facts: LogStatus, now: float) -> Actions:
+        self.nodes.remove_silent(now)
+        out = self.nodes.publish_changes(now)
         peers = self.peers()
-        beat = self._beat(facts, now)
+        beat = self._make_beat(facts, now)
         out += [core.Send(dst=name, msg=beat) for name in peers]
-        if now >= self._refresh_at:
-            self._refresh_at = now + const.REFRESH_SECONDS
-            out += self._refresh(peers, now)
+        if now >= self._next_refresh_at:
+            self._next_refresh_at = now + const.REFRESH_SECONDS
+            out += self._send_refresh(peers, now)
         return out
 
-    def _refresh(self, peers: list[str], now: float) -> Actions:
+    def _send_refresh(self, peers: list[str], now: float) -> Actions:
         """Tell how long ago targets were heard, though nothing has changed.
 
         Others are told by whoever a target announces itself to; an entry is
         told by a control VM of its own data centre, if there is one, since
         bytes between data centres are priced.
         """
-        heard = self._heard_here
-        self._heard_here = set()
+        heard = self._announced_targets
+        self._announced_targets = set()
         fresh = self._all_targets(now, heard)
         out: Actions = []
         if fresh.targets:
             out += [core.Send(dst=name, msg=fresh) for name in peers]
         every = self._all_targets(now)
         out += [
-            core.Send(dst=name, msg=every) for name in self.served_entries(now)
+            core.Send(dst=name, msg=every)
+            for name in self.entries_to_refresh(now)
         ]
         return out
 
-    def served_entries(self, now: float) -> list[str]:
+    def entries_to_refresh(self, now: float) -> list[str]:
         """Return the entries that no control VM of their own place serves.
 
         Or that this one serves, being of their data centre.
         """
         covered = {
             beat.place
-            for name, beat in self._beats_of.items()
-            if beat.keeps_log and self._is_heard(name, now)
+            for name, beat in self._control_beats.items()
+            if beat.keeps_log and self._is_live(name, now)
         }
         covered.discard(self._place)
         return [
             name
             for name in self.nodes.entry_names()
-            if self.nodes.place_of(name) not in covered
+            if self.nodes.get_place(name) not in covered
         ]
 
-    def _beat(self, facts: Facts, now: float) -> records.ControlBeat:
-        controls = self._keepers(facts, now)
+    def _make_beat(self, facts: LogStatus, now: float) -> records.ControlBeat:
+        controls = self._advertised_controls(facts, now)
         return records.ControlBeat(
             place=self._place,
             version=facts.version,
@@ -283,39 +292,39 @@
         )
 
     def _on_control_beat(
-        self, src: str, msg: records.ControlBeat, facts: Facts, now: float
+        self, src: str, msg: records.ControlBeat, facts: LogStatus, now: float
     ) -> Actions:
-        is_new = src not in self._beats_of
+        is_new = src not in self._control_beats
         self.controls[src] = now
-        self._beats_of[src] = msg
+        self._control_beats[src] = msg
         for name in msg.controls:
             self.controls.setdefault(name, float("-inf"))
         out: Actions = []
         if is_new:
             # It learns of this one at once, not with the next beat.
-            out.append(core.Send(dst=src, msg=self._beat(facts, now)))
-        self._targets_told.note(self.directory.digest, now)
-        if self._targets_told.lacks(src, msg.digest, now):
+            out.append(core.Send(dst=src, msg=self._make_beat(facts, now)))
+        self._digest_tracker.set_current(self.directory.digest, now)
+        if self._digest_tracker.needs_full_list(src, msg.digest, now):
             out.append(core.Send(dst=src, msg=self._all_targets(now)))
         return out
 
     def _on_node_beat(
-        self, src: str, msg: records.NodeBeat, facts: Facts, now: float
+        self, src: str, msg: records.NodeBeat, facts: LogStatus, now: float
     ) -> Actions:
-        if not self.nodes.on_beat(src, msg.node, now):
+        if not self.nodes.on_heartbeat(src, msg.node, now):
             return []
-        beat = self._beat(facts, now)
+        beat = self._make_beat(facts, now)
         if msg.controls_digest == beat.controls_digest:
             # The names are a third of a beat: 75 of 211 bytes for five.
             beat = beat._replace(controls=())
         out: Actions = [core.Send(dst=src, msg=beat)]
         if msg.node.kind != directory_const.KIND_ENTRY:
             return out
-        self._targets_told.note(self.directory.digest, now)
-        if self._targets_told.lacks(src, msg.digest, now):
+        self._digest_tracker.set_current(self.directory.digest, now)
+        if self._digest_tracker.needs_full_list(src, msg.digest, now):
             out.append(core.Send(dst=src, msg=self._all_targets(now)))
         if msg.node.open:
-            out += self.nodes.missed_by(src, msg.nodes_digest, now)
+            out += self.nodes.resend_list(src, msg.nodes_digest, now)
         return out
 
     def _all_targets(
@@ -340,20 +349,22 @@
         for target, age in zip(msg.targets, msg.ages, strict=False):
             before = self.directory.digest
             if self.directory.merge(target, now, age):
-                out += self._tell_of(target.target_id, before, now)
+                out += self._notify_entries(target.target_id, before, now)
         return out
 
     def _on_news(self, src: str, msg: records.News, now: float) -> Actions:
         out: Actions = []
         before = self.directory.digest
         if self.directory.merge(msg.target, now):
-            out += self._tell_of(msg.target.target_id, before, now)
+            out += self._notify_entries(msg.target.target_id, before, now)
         if msg.number:
             ack = records.NewsAck(number=msg.number)
             out.append(core.Send(dst=src, msg=ack))
         return out
 
-    def _tell_of(self, target_id: str, before: int, now: float) -> Actions:
+    def _notify_entries(
+        self, target_id: str, before: int, now: float
+    ) -> Actions:
         """Tell the entries of a record that has changed.
 
         Args:
@@ -365,28 +376,28 @@
         if target is None:
             return []
         after = self.directory.digest
-        self._targets_told.note(after, now)
+        self._digest_tracker.set_current(after, now)
         news = records.News(target=target, before=before, after=after)
         return [
             core.Send(dst=name, msg=news) for name in self.nodes.entry_names()
         ]
 
-    def _spread(
+    def _broadcast_target(
         self, target: records.Target, before: int, now: float, *, wait: bool
-    ) -> Asked:
-        number = next(self._numbers)
-        out = self._tell_of(target.target_id, before, now)
+    ) -> StartedRequest:
+        number = next(self._request_numbers)
+        out = self._notify_entries(target.target_id, before, now)
         news = records.News(target=target, number=number if wait else 0)
         peers = self.peers()
         out += [core.Send(dst=name, msg=news) for name in peers]
         if wait and peers:
-            self._news[number] = now + const.NEWS_SECONDS
+            self._unacked_news[number] = now + const.NEWS_ACK_TIMEOUT_SECONDS
         else:
             out.append(Acknowledged(number=number))
-        return Asked(number, out)
+        return StartedRequest(number, out)
 
-    def _expire_news(self, now: float) -> Actions:
-        late = [n for n, until in self._news.items() if now >= until]
+    def _expire_unacked_news(self, now: float) -> Actions:
+        late = [n for n, until in self._unacked_news.items() if now >= until]
         for number in late:
-            del self._news[number]
+            del self._unacked_news[number]
         return [Unconfirmed(number=number) for number in late]
--- a/jasperweir/components/configctl/seats.py
+++ b/jasperweir/components/configctl/seats.py
@@ -16,7 +16,7 @@
     asked_at: float
 
 
-def next_seats(
+def next_seat_change(
     *,
     seats: messages.Seats,
     applicants: list[Applicant],
@@ -37,13 +37,15 @@
         now: Monotonic seconds.
     """
     fresh = [
-        a for a in applicants if now - a.asked_at < const.HELLO_FRESH_SECONDS
+        a
+        for a in applicants
+        if now - a.asked_at < const.SEAT_REQUEST_TTL_SECONDS
     ]
     held = {seat.name: seat for seat in seats.seats}
     for applicant in fresh:
         seat = held.get(applicant.name)
         if seat is not None and seat.disk != applicant.disk:
-            return _without(seats, seat)
+            return _without_seat(seats, seat)
     for applicant in fresh:
         if applicant.name not in held:
             learner = messages.Seat(
@@ -60,9 +62,9 @@
         for seat in seats.seats
         if now - heard_at.get(seat.name, now) > const.SEAT_SILENT_SECONDS
     ]
-    return _without(seats, silent[0]) if silent else None
+    return _without_seat(seats, silent[0]) if silent else None
 
 
-def _without(seats: messages.Seats, gone: messages.Seat) -> messages.Seats:
+def _without_seat(seats: messages.Seats, gone: messages.Seat) -> messages.Seats:
     left = tuple(seat for seat in seats.seats if seat != gone)
     return seats._replace(seats=left)
--- a/jasperweir/daemons/control_calls.py
+++ b/jasperweir/daemons/control_calls.py
@@ -34,7 +34,7 @@
             node: Who is asked, None while the disk cannot be used.
             now: Monotonic seconds.
         """
-        call = door_lib.checked(self._dialect.call(answering.request))
+        call = door_lib.validate_call(self._dialect.call(answering.request))
         if isinstance(call, door_lib.Invalid):
             _log.info(
                 "call refused",
@@ -106,7 +106,7 @@
 
 def _ask(
     node: node_lib.ConfigNode, call: door_lib.Call, now: float
-) -> roster_lib.Asked:
+) -> roster_lib.StartedRequest:
     match call:
         case door_lib.Replace():
             _log.info("replace asked", version=call.deployment.version)
--- a/jasperweir/daemons/site_control.py
+++ b/jasperweir/daemons/site_control.py
@@ -189,7 +189,7 @@
             return
         try:
             self._storage.save_commit_hint(node.voter.commit)
-            self._storage.note_side(node.roster.side_state(self._host.now()))
+            self._storage.note_side(node.roster.soft_state(self._host.now()))
         except exceptions.StorageError as exc:
             # Only a restart would take longer without it.
             _log.warning("soft state not written", reason=str(exc))
@@ -200,13 +200,13 @@
         """Drive the switch of expert maps while this VM surely leads."""
         if self._term_at(now) and now >= self._nodes_at:
             self._nodes_at = now + NODES_SECONDS
-            for agent in node.roster.nodes.fresh(
+            for agent in node.roster.nodes.live_nodes(
                 directory_const.KIND_AGENT, now
             ):
                 self._coordinator.on_agent(agent.name, agent.place, now)
             self._coordinator.on_entries(self._hold_givers(node, now))
             fresh_s = mapswitch_const.RELAY_FRESH_SECONDS
-            relays = node.roster.near_keepers(now, fresh_s)
+            relays = node.roster.log_holders_by_place(now, fresh_s)
             self._coordinator.on_relays(relays)
         self._perform(self._coordinator.tick(now))
         self._plan_soon()
@@ -239,7 +239,7 @@
         None that is stopping, and none on a VM of control, where there are
         others.
         """
-        entries = node.roster.nodes.fresh(directory_const.KIND_ENTRY, now)
+        entries = node.roster.nodes.live_nodes(directory_const.KIND_ENTRY, now)
         entries = [entry for entry in entries if entry.open] or entries
         controls = {name.rpartition(":")[0] for name in node.roster.controls}
         controls.add(self._cfg.address)
@@ -267,7 +267,7 @@
                     self._spread.receive(
                         src,
                         msg,
-                        entries=roster.served_entries(now),
+                        entries=roster.entries_to_refresh(now),
                         controls=roster.peers(),
                         now=now,
                     )
@@ -353,7 +353,9 @@
         now = self._host.now()
         if not self._slow_news.is_due(slow, now):
             return
-        for entry in node.roster.nodes.fresh(directory_const.KIND_ENTRY, now):
+        for entry in node.roster.nodes.live_nodes(
+            directory_const.KIND_ENTRY, now
+        ):
             self._host.send(core.Send(dst=entry.name, msg=slow))
 
     def _on_version(self, version: int) -> None:
