--- a/features/harness/matrix.py
+++ b/features/harness/matrix.py
@@ -8,7 +8,7 @@
 from features.harness import ranks
 from features.harness import site
 from jasperweir.components.claims import const as claim_const
-from jasperweir.components.configctl import roster as roster_lib
+from jasperweir.components.configctl import discovery_server
 from jasperweir.components.mapswitch import const
 from jasperweir.components.membership import messages as member_messages
 from jasperweir.helpers import codec
@@ -118,17 +118,17 @@
 
 def quorum_cell(tap: Tap) -> None:
     """Election, changes, snapshot, seat and hand-over under one fault."""
-    net = quorum.Net(["a", "b", "c", "d"])
+    net = quorum.Cluster(["a", "b", "c", "d"])
     net.disks.pop("d")
     net.kill("d")
-    net.found("a")
+    net.bootstrap("a")
     net.tap = tap
     for i in range(4):
         net.propose(b"x%d" % i)
         run(net, 0.4)
     lead = net.leader()
     if lead:
-        net.perform(lead, net.voters[lead].hand_over(net.now))
+        net.perform(lead, net.voters[lead].transfer_leadership(net.now))
     run(net, 3)
     lead = net.leader()
     if lead:
@@ -321,7 +321,7 @@
     for name in scene.names:
         if name not in scene.nodes:
             scene.start(name)
-            scene.nodes[name].begin_founding(
+            scene.nodes[name].start_bootstrap(
                 decides=name == "c1", now=scene.now
             )
     run(scene, 4.0)
@@ -334,7 +334,7 @@
 
 
 def acknowledged(scene, told) -> bool:
-    return isinstance(scene.results.get(told), roster_lib.Acknowledged)
+    return isinstance(scene.results.get(told), discovery_server.Acknowledged)
 
 
 def running(scene) -> list[str]:
--- a/features/harness/quorum.py
+++ b/features/harness/quorum.py
@@ -48,7 +48,7 @@
                 self.entries = {e.idx: e for e in act.kept}
 
 
-class Net:
+class Cluster:
     """Voters, their disks and a network that can lose and reorder messages.
 
     All invariants are checked after each performed action.
@@ -178,7 +178,7 @@
                 return self.leader()
         raise AssertionError(f"no leader within {seconds} s")
 
-    def found(self, first: str) -> None:
+    def bootstrap(self, first: str) -> None:
         self.perform(first, self.voters[first].bootstrap("a"))
         self.wait_for_leader()
         for name in self.disks:
--- a/features/harness/site.py
+++ b/features/harness/site.py
@@ -5,8 +5,8 @@
 
 from features.harness import quorum as quorum_lib
 from jasperweir import core
+from jasperweir.components.configctl import discovery_server
 from jasperweir.components.configctl import node as node_lib
-from jasperweir.components.configctl import roster as roster_lib
 from jasperweir.components.directory import records
 from jasperweir.components.follow import follower as follower_lib
 from jasperweir.components.quorum import actions
@@ -57,7 +57,7 @@
             self.start(name)
         if bootstrap:
             for name, node in self.nodes.items():
-                node.begin_founding(
+                node.start_bootstrap(
                     decides=name == min(self.names[:3]), now=self.now
                 )
         for i in range(1, entries + 1):
@@ -87,7 +87,7 @@
         node = self.nodes.pop(name, None)
         if node is not None:
             self.hints[name] = node.voter.commit
-            self.sides[name] = node.roster.soft_state(self.now)
+            self.sides[name] = node.discovery.soft_state(self.now)
         self.followers.pop(name, None)
 
     def wipe(self, name):
@@ -174,7 +174,10 @@
                     self.on_replaced(name, act)
                 case node_lib.Described():
                     self.on_described(name, act)
-                case roster_lib.Acknowledged() | roster_lib.Unconfirmed():
+                case (
+                    discovery_server.Acknowledged()
+                    | discovery_server.Unconfirmed()
+                ):
                     self.results[(name, act.number)] = act
 
     def post(self, src, dst, msg):
@@ -215,7 +218,7 @@
         self.results[(name, act.number)] = act
 
     def announce(self, name, target):
-        asked = self.nodes[name].roster.announce(target, self.now)
+        asked = self.nodes[name].discovery.announce(target, self.now)
         self.perform(name, asked.acts)
         return (name, asked.number)
 
--- a/features/steps/declared_steps.py
+++ b/features/steps/declared_steps.py
@@ -7,9 +7,9 @@
 from behave import when
 
 from features.harness import site as site_lib
+from jasperweir.components.configctl import discovery_server
 from jasperweir.components.configctl import messages as config_messages
 from jasperweir.components.configctl import node as node_lib
-from jasperweir.components.configctl import roster as roster_lib
 from jasperweir.components.quorum import progress
 
 
@@ -80,7 +80,7 @@
 def step_all_unconfirmed(context):
     for ask in context.asks:
         got = context.site.results.get(ask)
-        assert isinstance(got, roster_lib.Unconfirmed), got
+        assert isinstance(got, discovery_server.Unconfirmed), got
 
 
 @then("a read at every control VM returns the first content of version 9")
@@ -120,7 +120,7 @@
 @then("the reader is told to ask again")
 def step_read_unconfirmed(context):
     got = context.site.results.get(context.read)
-    assert isinstance(got, roster_lib.Unconfirmed), got
+    assert isinstance(got, discovery_server.Unconfirmed), got
 
 
 @when("the leading control VM freezes")
@@ -237,7 +237,7 @@
     site.announce("c1", site_lib.target(sequence=5))
     site.run(1.0)
     for node in site.nodes.values():
-        assert node.roster.directory.serving("s", site.now)
+        assert node.discovery.directory.serving("s", site.now)
     for follower in site.followers.values():
         assert follower.directory.serving("s", site.now)
 
@@ -251,13 +251,13 @@
 @then("the target has its acknowledgement")
 def step_acked(context):
     got = context.site.results.get(context.ack)
-    assert isinstance(got, roster_lib.Acknowledged), got
+    assert isinstance(got, discovery_server.Acknowledged), got
 
 
 @then("the target is told to ask another control VM")
 def step_not_acked(context):
     got = context.site.results.get(context.ack)
-    assert isinstance(got, roster_lib.Unconfirmed), got
+    assert isinstance(got, discovery_server.Unconfirmed), got
 
 
 @then("no entry would send to the target")
@@ -353,7 +353,9 @@
         got = site.results.get(ask)
         if all(n.machine.declared().version == 0 for n in site.nodes.values()):
             # Nothing was ever committed: there is nothing to be read.
-            assert floor == 0 and isinstance(got, roster_lib.Unconfirmed), got
+            assert floor == 0 and isinstance(
+                got, discovery_server.Unconfirmed
+            ), got
             return
         assert isinstance(got, node_lib.Described), f"no read: {got}"
         assert got.declared.version >= floor
@@ -423,7 +425,7 @@
 def step_restart_one(context, name):
     context.site.kill(name)
     context.site.start(name)
-    context.site.nodes[name].begin_founding(decides=True, now=context.site.now)
+    context.site.nodes[name].start_bootstrap(decides=True, now=context.site.now)
 
 
 @when('a copy of its word reaches "{one}" and "{two}"')
@@ -441,5 +443,5 @@
 def step_knows_agent(context):
     site = context.site
     for name, node in site.nodes.items():
-        found = node.roster.nodes.live_nodes("agent", site.now)
+        found = node.discovery.nodes.live_nodes("agent", site.now)
         assert [agent.name for agent in found] == ["a1"], name
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from features.harness import site as site_lib
-from jasperweir.components.configctl import door
+from jasperweir.components.configctl import control_calls as calls_lib
 from jasperweir.components.directory import const as directory_const
 from jasperweir.components.directory import directory as directory_lib
 from jasperweir.components.directory import records
@@ -118,7 +118,9 @@
 )
 def step_again(context, born, name):
     site = context.site
-    site.perform("c2", site.nodes["c2"].roster.deregister("t1", site.now).acts)
+    site.perform(
+        "c2", site.nodes["c2"].discovery.deregister("t1", site.now).acts
+    )
     site.run(1.0)
     site.announce(name, target(born))
     site.run(0.5)
@@ -147,8 +149,8 @@
     site = context.site
     site.announce("c1", target(born))
     site.run(1.0)
-    roster = site.nodes["c2"].roster
-    site.perform("c2", roster.deregister("t1", site.now, old).acts)
+    discovery = site.nodes["c2"].discovery
+    site.perform("c2", discovery.deregister("t1", site.now, old).acts)
     site.run(1.0)
 
 
@@ -193,12 +195,12 @@
 
 @then("it is refused")
 def step_refused(context):
-    assert isinstance(context.call, door.Invalid), context.call
+    assert isinstance(context.call, calls_lib.Invalid), context.call
 
 
 @then("it names a target born at {born:d}")
 def step_born(context, born):
-    assert isinstance(context.call, door.Announce), context.call
+    assert isinstance(context.call, calls_lib.Announce), context.call
     assert context.call.target.born == born
 
 
@@ -276,16 +278,20 @@
 
 @then("each is a target, a deregistration or a refusal")
 def step_each(context):
-    kinds = (door.Announce, door.Deregister, door.Invalid)
+    kinds = (
+        calls_lib.Announce,
+        calls_lib.Deregister,
+        calls_lib.Invalid,
+    )
     assert all(isinstance(call, kinds) for call in context.calls)
-    assert any(isinstance(call, door.Announce) for call in context.calls)
-    assert any(isinstance(call, door.Invalid) for call in context.calls)
+    assert any(isinstance(call, calls_lib.Announce) for call in context.calls)
+    assert any(isinstance(call, calls_lib.Invalid) for call in context.calls)
 
 
 @then("what was read fits our own messages")
 def step_fits(context):
     for call in context.calls:
-        if not isinstance(call, door.Announce):
+        if not isinstance(call, calls_lib.Announce):
             continue
         packed = codec.pack(records.News(target=call.target))
         assert codec.unpack(packed, records.News).target == call.target
--- a/features/steps/large_steps.py
+++ b/features/steps/large_steps.py
@@ -14,8 +14,8 @@
 from jasperweir.components.balance import balancer as balancer_lib
 from jasperweir.components.balance import const as balance_const
 from jasperweir.components.balance import messages as balance_messages
+from jasperweir.components.configctl import discovery_server
 from jasperweir.components.configctl import messages as config_messages
-from jasperweir.components.configctl import roster as roster_lib
 from jasperweir.components.directory import directory as directory_lib
 from jasperweir.components.directory import records
 from jasperweir.components.follow import follower as follower_lib
@@ -251,7 +251,7 @@
 @then("its leaving is acknowledged")
 def step_leaving_acknowledged(context):
     got = context.site.results.get(context.ask)
-    assert isinstance(got, roster_lib.Acknowledged), got
+    assert isinstance(got, discovery_server.Acknowledged), got
 
 
 @when("an entry starts that is told of those without a disk only")
--- a/features/steps/lead_steps.py
+++ b/features/steps/lead_steps.py
@@ -12,8 +12,8 @@
 def restart_all_voters(count, seed, *, wiped):
     """Return the seconds from the last restart to the election of a leader."""
     rng = random.Random(seed)
-    net = quorum.Net([f"v{number}" for number in range(count)], seed)
-    net.found("v0")
+    net = quorum.Cluster([f"v{number}" for number in range(count)], seed)
+    net.bootstrap("v0")
     led = net.wait_for_leader()
     names = list(net.voters)
     for name in names:
@@ -69,8 +69,8 @@
 
 def restart_voter_beside_partition(seed):
     """Restart the only voter that hears the leader ten times in a row."""
-    net = quorum.Net(["v0", "v1", "v2"], seed)
-    net.found("v0")
+    net = quorum.Cluster(["v0", "v1", "v2"], seed)
+    net.bootstrap("v0")
     led = net.wait_for_leader()
     deaf, hearing = (name for name in net.voters if name != led)
     net.cut_pair(led, deaf)
--- a/features/steps/quorum_steps.py
+++ b/features/steps/quorum_steps.py
@@ -17,8 +17,8 @@
 
 @given("{count:d} voters")
 def step_voters(context, count):
-    context.net = quorum.Net(NAMES[:count])
-    context.net.found("a")
+    context.net = quorum.Cluster(NAMES[:count])
+    context.net.bootstrap("a")
     context.net.wait_for_leader()
     context.old = ""
     context.killed = ""
@@ -144,7 +144,9 @@
     net = context.net
     net.run(1)
     context.old = net.wait_for_leader()
-    net.perform(context.old, net.voters[context.old].hand_over(net.now))
+    net.perform(
+        context.old, net.voters[context.old].transfer_leadership(net.now)
+    )
 
 
 @when("{count:d} entries are proposed and compacted")
@@ -212,8 +214,8 @@
     Returns:
         Entries that were lost or applied twice.
     """
-    net = quorum.Net(NAMES[:3], seed=action)
-    net.found("a")
+    net = quorum.Cluster(NAMES[:3], seed=action)
+    net.bootstrap("a")
     lead = net.wait_for_leader()
     accepted = []
     if net.propose(b"before"):
@@ -273,8 +275,8 @@
 
 def run_schedule(seed, events):
     """Run one schedule of events; the harness checks after each action."""
-    net = quorum.Net(NAMES[:5], seed=seed)
-    net.found("a")
+    net = quorum.Cluster(NAMES[:5], seed=seed)
+    net.bootstrap("a")
     rng = random.Random(seed)
     wiped = set()
     for event in events:
@@ -308,7 +310,7 @@
                 voter = net.voters[name]
                 net.perform(name, voter.compact(voter.commit, b"s"))
             case "hand over" if alive:
-                net.perform(name, net.voters[name].hand_over(net.now))
+                net.perform(name, net.voters[name].transfer_leadership(net.now))
     return net.action_count
 
 
@@ -391,11 +393,11 @@
 
 
 def check_transfer_ends_lease():
-    net = quorum.Net(NAMES[:3])
-    net.found("a")
+    net = quorum.Cluster(NAMES[:3])
+    net.bootstrap("a")
     net.run(1)
     lead = net.voters[net.wait_for_leader()]
-    assert lead.hand_over(net.now)
+    assert lead.transfer_leadership(net.now)
     assert not lead.has_lease(net.now)
 
 
--- a/features/steps/suspended_steps.py
+++ b/features/steps/suspended_steps.py
@@ -63,9 +63,9 @@
     context.clocks.start()
     context.add_cleanup(context.clocks.stop)
     context.clock = core.SystemClock()
-    net = quorum_lib.Net(["a", "b", "c"])
+    net = quorum_lib.Cluster(["a", "b", "c"])
     net.now = context.clock.monotonic()
-    net.found("a")
+    net.bootstrap("a")
     net.run(5.0)
     context.clocks.advance(net.now - context.clock.monotonic())
     context.voter = net.voters[net.leader()]
--- a/jasperweir/components/configctl/const.py
+++ b/jasperweir/components/configctl/const.py
@@ -3,7 +3,7 @@
 # Fine enough for heartbeats and elections of the log.
 TICK_SECONDS = 0.05
 # Control VMs tell each other and the nodes what they hold this often.
-BEAT_SECONDS = 0.25
+HEARTBEAT_SECONDS = 0.25
 # Another control VM is not listed any more after this silence.
 CONTROL_SILENT_SECONDS = 3.0
 # All target records are sent this often even if nothing has changed, so that
@@ -36,4 +36,4 @@
 SEAT_REQUEST_TTL_SECONDS = 2.5
 # Time that the acknowledgement of a leaving target waits for a second
 # control VM to know of it.
-NEWS_ACK_TIMEOUT_SECONDS = 0.5
+UPDATE_ACK_TIMEOUT_SECONDS = 0.5
--- a/jasperweir/components/configctl/roster.py
+++ b/jasperweir/components/configctl/discovery_server.py
@@ -66,7 +66,7 @@
     seats: quorum_messages.Seats
 
 
-class Roster:
+class DiscoveryServer:
     """Who is there, and what is told to whom.
 
     Attributes:
@@ -103,12 +103,12 @@
         self._keeps_log = keeps_log
         self._seats = quorum_messages.Seats()
         # What each other control VM told last.
-        self._control_beats: dict[str, records.ControlBeat] = {}
-        self._unacked_news: dict[int, float] = {}
+        self._control_heartbeats: dict[str, records.ControlBeat] = {}
+        self._unacked_updates: dict[int, float] = {}
         self._digest_tracker = digest_tracker.DigestTracker()
         # Targets that announced themselves here since the last refresh.
         self._announced_targets: set[str] = set()
-        self._next_beat_at = 0.0
+        self._next_heartbeat_at = 0.0
         self._next_refresh_at = 0.0
 
     # Targets.
@@ -140,12 +140,12 @@
         """Let time pass."""
         self._seats = facts.seats
         self.directory.tick(now)
-        out = self._expire_unacked_news(now)
+        out = self._expire_unacked_updates(now)
         if self.nodes.has_changes:
             out += self.nodes.publish_changes(now)
-        if now >= self._next_beat_at:
-            self._next_beat_at = now + const.BEAT_SECONDS
-            out += self._send_beats(facts, now)
+        if now >= self._next_heartbeat_at:
+            self._next_heartbeat_at = now + const.HEARTBEAT_SECONDS
+            out += self._send_heartbeats(facts, now)
         return out
 
     def receive(
@@ -154,21 +154,21 @@
         """Handle a message of another control VM, an entry or an agent."""
         match msg:
             case records.ControlBeat():
-                return self._on_control_beat(src, msg, facts, now)
+                return self._on_control_heartbeat(src, msg, facts, now)
             case records.NodeBeat():
-                return self._on_node_beat(src, msg, facts, now)
+                return self._on_node_heartbeat(src, msg, facts, now)
             case records.Targets():
                 return self._on_targets(msg, now)
             case records.News():
-                return self._on_news(src, msg, now)
+                return self._on_target_update(src, msg, now)
             case records.NewsAck():
-                if self._unacked_news.pop(msg.number, None) is not None:
+                if self._unacked_updates.pop(msg.number, None) is not None:
                     return [Acknowledged(number=msg.number)]
         return []
 
-    def restore(self, side: bytes, now: float) -> None:
+    def restore(self, soft_state: bytes, now: float) -> None:
         """Take up what was announced before a restart."""
-        known = codec.unpack(side, records.Targets)
+        known = codec.unpack(soft_state, records.Targets)
         for target in known.targets:
             self.directory.merge(target, now)
 
@@ -192,7 +192,7 @@
         """Return the control VMs that nodes are to talk to."""
         names = {self._name: None} if self._keeps_log else {}
         names.update({seat.name: None for seat in facts.seats.seats})
-        for name, beat in self._control_beats.items():
+        for name, beat in self._control_heartbeats.items():
             if beat.keeps_log and self._is_live(name, now):
                 names[name] = None
         return tuple(names)
@@ -208,7 +208,7 @@
         """
         return {
             beat.place: name
-            for name, beat in sorted(self._control_beats.items())
+            for name, beat in sorted(self._control_heartbeats.items())
             if beat.keeps_log
             and beat.place != self._place
             and now - self.controls[name] < fresh_s
@@ -221,18 +221,18 @@
         """Return the newest leader that other control VMs tell of."""
         told = [
             Leader(beat.leader, beat.term)
-            for name, beat in self._control_beats.items()
+            for name, beat in self._control_heartbeats.items()
             if beat.leader and self._is_live(name, now)
         ]
         return max(told, key=lambda leader: leader.term, default=Leader("", 0))
 
     # Other control VMs and nodes.
 
-    def _send_beats(self, facts: LogStatus, now: float) -> Actions:
+    def _send_heartbeats(self, facts: LogStatus, now: float) -> Actions:
         self.nodes.remove_silent(now)
         out = self.nodes.publish_changes(now)
         peers = self.peers()
-        beat = self._make_beat(facts, now)
+        beat = self._make_heartbeat(facts, now)
         out += [core.Send(dst=name, msg=beat) for name in peers]
         if now >= self._next_refresh_at:
             self._next_refresh_at = now + const.REFRESH_SECONDS
@@ -266,7 +266,7 @@
         """
         covered = {
             beat.place
-            for name, beat in self._control_beats.items()
+            for name, beat in self._control_heartbeats.items()
             if beat.keeps_log and self._is_live(name, now)
         }
         covered.discard(self._place)
@@ -276,7 +276,9 @@
             if self.nodes.get_place(name) not in covered
         ]
 
-    def _make_beat(self, facts: LogStatus, now: float) -> records.ControlBeat:
+    def _make_heartbeat(
+        self, facts: LogStatus, now: float
+    ) -> records.ControlBeat:
         controls = self._advertised_controls(facts, now)
         return records.ControlBeat(
             place=self._place,
@@ -291,29 +293,29 @@
             term=facts.term,
         )
 
-    def _on_control_beat(
+    def _on_control_heartbeat(
         self, src: str, msg: records.ControlBeat, facts: LogStatus, now: float
     ) -> Actions:
-        is_new = src not in self._control_beats
+        is_new = src not in self._control_heartbeats
         self.controls[src] = now
-        self._control_beats[src] = msg
+        self._control_heartbeats[src] = msg
         for name in msg.controls:
             self.controls.setdefault(name, float("-inf"))
         out: Actions = []
         if is_new:
             # It learns of this one at once, not with the next beat.
-            out.append(core.Send(dst=src, msg=self._make_beat(facts, now)))
+            out.append(core.Send(dst=src, msg=self._make_heartbeat(facts, now)))
         self._digest_tracker.set_current(self.directory.digest, now)
         if self._digest_tracker.needs_full_list(src, msg.digest, now):
             out.append(core.Send(dst=src, msg=self._all_targets(now)))
         return out
 
-    def _on_node_beat(
+    def _on_node_heartbeat(
         self, src: str, msg: records.NodeBeat, facts: LogStatus, now: float
     ) -> Actions:
         if not self.nodes.on_heartbeat(src, msg.node, now):
             return []
-        beat = self._make_beat(facts, now)
+        beat = self._make_heartbeat(facts, now)
         if msg.controls_digest == beat.controls_digest:
             # The names are a third of a beat: 75 of 211 bytes for five.
             beat = beat._replace(controls=())
@@ -352,7 +354,9 @@
                 out += self._notify_entries(target.target_id, before, now)
         return out
 
-    def _on_news(self, src: str, msg: records.News, now: float) -> Actions:
+    def _on_target_update(
+        self, src: str, msg: records.News, now: float
+    ) -> Actions:
         out: Actions = []
         before = self.directory.digest
         if self.directory.merge(msg.target, now):
@@ -391,13 +395,15 @@
         peers = self.peers()
         out += [core.Send(dst=name, msg=news) for name in peers]
         if wait and peers:
-            self._unacked_news[number] = now + const.NEWS_ACK_TIMEOUT_SECONDS
+            self._unacked_updates[number] = (
+                now + const.UPDATE_ACK_TIMEOUT_SECONDS
+            )
         else:
             out.append(Acknowledged(number=number))
         return StartedRequest(number, out)
 
-    def _expire_unacked_news(self, now: float) -> Actions:
-        late = [n for n, until in self._unacked_news.items() if now >= until]
+    def _expire_unacked_updates(self, now: float) -> Actions:
+        late = [n for n, until in self._unacked_updates.items() if now >= until]
         for number in late:
-            del self._unacked_news[number]
+            del self._unacked_updates[number]
         return [Unconfirmed(number=number) for number in late]
--- a/jasperweir/components/configctl/node.py
+++ b/jasperweir/components/configctl/node.py
@@ -8,8 +8,8 @@
 from jasperweir import core
 from jasperweir.components.configctl import bootstrap_election as bootstrap_lib
 from jasperweir.components.configctl import const
+from jasperweir.components.configctl import discovery_server
 from jasperweir.components.configctl import messages
-from jasperweir.components.configctl import roster as roster_lib
 from jasperweir.components.configctl import seats as seats_lib
 from jasperweir.components.quorum import actions
 from jasperweir.components.quorum import const as quorum_const
@@ -72,7 +72,7 @@
     Attributes:
         voter: Member of the replicated log.
         machine: What is committed.
-        roster: Targets, entries, agents and other control VMs.
+        discovery: Targets, entries, agents and other control VMs.
     """
 
     def __init__(
@@ -98,7 +98,7 @@
         # deployment turns out to have fewer control VMs than are wanted.
         self._min_seats = min(wanted_seats, 1 + len(others))
         self._request_numbers = itertools.count(1)
-        self.roster = roster_lib.Roster(
+        self.discovery = discovery_server.DiscoveryServer(
             name=name,
             place=place,
             seeds=others,
@@ -116,7 +116,7 @@
 
     def replace(
         self, version: int, data: bytes, now: float
-    ) -> roster_lib.StartedRequest:
+    ) -> discovery_server.StartedRequest:
         """Commit a configuration; a Replaced or Unconfirmed follows."""
         number = next(self._request_numbers)
         request = messages.ReplaceRequest(
@@ -124,7 +124,7 @@
         )
         return self._start_request(number, request, now)
 
-    def describe(self, now: float) -> roster_lib.StartedRequest:
+    def describe(self, now: float) -> discovery_server.StartedRequest:
         """Read the newest; a Described or Unconfirmed follows."""
         number = next(self._request_numbers)
         held = self.machine.declared().version
@@ -139,7 +139,7 @@
         out = self._process_actions(self.voter.tick(now), now)
         out += self._update_seats(now)
         out += self._send_pending(now)
-        out += self.roster.tick(self._log_status(now), now)
+        out += self.discovery.tick(self._log_status(now), now)
         if self._bootstrap_election is not None:
             out += self._run_bootstrap_election(self._bootstrap_election, now)
         if self._has_disk and self._may_need_seat:
@@ -167,23 +167,25 @@
                 return self._on_bootstrap_request()
         if type(msg).__module__ == quorum_messages.__name__:
             return self._process_actions(self.voter.receive(src, msg, now), now)
-        return self.roster.receive(src, msg, self._log_status(now), now)
+        return self.discovery.receive(src, msg, self._log_status(now), now)
 
-    def restore(self, commit_hint: int, side: bytes, now: float) -> Actions:
+    def restore(
+        self, commit_hint: int, soft_state: bytes, now: float
+    ) -> Actions:
         """Take up what was committed and announced before a restart.
 
         Args:
             commit_hint: Index up to which the log was committed.
-            side: What the roster's ``side_state`` returned, or nothing.
+            soft_state: Result of ``discovery.soft_state``, or empty.
             now: Monotonic seconds.
         """
-        if side:
-            self.roster.restore(side, now)
+        if soft_state:
+            self.discovery.restore(soft_state, now)
         return self._process_actions(
             self.voter.restore_commit(commit_hint), now
         )
 
-    def begin_founding(self, *, decides: bool, now: float) -> None:
+    def start_bootstrap(self, *, decides: bool, now: float) -> None:
         """Take part in founding the log, at the system's first start."""
         self._bootstrap_election = bootstrap_lib.BootstrapElection(
             name=self.name, has_disk=self._has_disk, decides=decides, now=now
@@ -227,17 +229,17 @@
             return []
         self._next_hello_at = now + quorum_const.HELLO_SECONDS
         hello = quorum_messages.Hello(disk=self.voter.disk, addr=self.name)
-        return [core.Send(dst=n, msg=hello) for n in self.roster.peers()]
+        return [core.Send(dst=n, msg=hello) for n in self.discovery.peers()]
 
-    def _leader(self, now: float) -> roster_lib.Leader:
+    def _leader(self, now: float) -> discovery_server.Leader:
         """Return the leader, from other control VMs where no seat is held."""
         if self._has_disk:
-            return roster_lib.Leader(self.voter.leader, self.voter.term)
-        return self.roster.reported_leader(now)
+            return discovery_server.Leader(self.voter.leader, self.voter.term)
+        return self.discovery.reported_leader(now)
 
-    def _log_status(self, now: float) -> roster_lib.LogStatus:
+    def _log_status(self, now: float) -> discovery_server.LogStatus:
         leader = self._leader(now)
-        return roster_lib.LogStatus(
+        return discovery_server.LogStatus(
             version=self.machine.declared().version,
             certain=self.voter.read_index(now) is not None,
             leader=leader.name,
@@ -245,9 +247,9 @@
             seats=self.voter.seats,
         )
 
-    def hand_over(self, now: float) -> Actions:
+    def transfer_leadership(self, now: float) -> Actions:
         """Give the lead to another member before a planned stop."""
-        return self._process_actions(self.voter.hand_over(now), now)
+        return self._process_actions(self.voter.transfer_leadership(now), now)
 
     # Questions and their way to the leader.
 
@@ -256,12 +258,12 @@
         number: int,
         request: messages.ReplaceRequest | messages.ReadRequest,
         now: float,
-    ) -> roster_lib.StartedRequest:
+    ) -> discovery_server.StartedRequest:
         expires_at = now + const.REQUEST_TIMEOUT_SECONDS
         self._pending[number] = PendingRequest(
             request=request, expires_at=expires_at
         )
-        return roster_lib.StartedRequest(number, self._send_pending(now))
+        return discovery_server.StartedRequest(number, self._send_pending(now))
 
     def _send_pending(self, now: float) -> Actions:
         out: Actions = []
@@ -269,7 +271,7 @@
         for number, pending in list(self._pending.items()):
             if now >= pending.expires_at:
                 del self._pending[number]
-                out.append(roster_lib.Unconfirmed(number=number))
+                out.append(discovery_server.Unconfirmed(number=number))
                 continue
             due = now - pending.sent_at > const.RESEND_REQUEST_SECONDS
             if not leader or (pending.sent_to == leader and not due):
@@ -416,7 +418,7 @@
         out: Actions = [NewVersion(version=version)]
         out += [
             core.Send(dst=name, msg=news)
-            for name in self.roster.nodes.entry_names()
+            for name in self.discovery.nodes.entry_names()
         ]
         return out
 
--- a/jasperweir/components/quorum/null_storage.py
+++ b/jasperweir/components/quorum/null_storage.py
@@ -35,9 +35,9 @@
     def save_commit_hint(self, index: int) -> None:
         """Do nothing."""
 
-    def note_side(self, data: bytes) -> None:
+    def save_soft_state(self, data: bytes) -> None:
         """Do nothing."""
 
-    def side(self) -> bytes:
+    def load_soft_state(self) -> bytes:
         """Return empty data."""
         return b""
--- a/jasperweir/components/quorum/storage.py
+++ b/jasperweir/components/quorum/storage.py
@@ -216,11 +216,11 @@
         """
         self._replace(COMMIT_FILE, encode_record(codec.pack(index)))
 
-    def note_side(self, data: bytes) -> None:
+    def save_soft_state(self, data: bytes) -> None:
         """Save soft state for a faster restart."""
         self._replace(SOFT_STATE_FILE, encode_record(data))
 
-    def side(self) -> bytes:
+    def load_soft_state(self) -> bytes:
         """Return the soft state, empty if it is absent or corrupt."""
         return self._read_optional(SOFT_STATE_FILE)
 
--- a/jasperweir/components/quorum/voter.py
+++ b/jasperweir/components/quorum/voter.py
@@ -225,7 +225,7 @@
         kept = self.log.entries_between(index + 1, self.log.last_index)
         return [actions.SaveSnapshot(snapshot=self.snapshot, kept=kept)]
 
-    def hand_over(self, now: float) -> Actions:
+    def transfer_leadership(self, now: float) -> Actions:
         """Transfer leadership to a live voter with a complete log, if any."""
         if self.role != LEADER or self._replicator is None:
             return []
--- a/jasperweir/daemons/control.py
+++ b/jasperweir/daemons/control.py
@@ -126,7 +126,9 @@
         return self.controller.voter.role == voter_lib.LEADER
 
     def _hand_over(self) -> None:
-        self._perform(self.controller.voter.hand_over(self.host.now()))
+        self._perform(
+            self.controller.voter.transfer_leadership(self.host.now())
+        )
 
     # Actor callbacks.
 
--- a/jasperweir/daemons/control_calls.py
+++ b/jasperweir/daemons/control_calls.py
@@ -4,9 +4,9 @@
 
 from jasperweir import result_codes
 from jasperweir.components.configctl import const
-from jasperweir.components.configctl import door as door_lib
+from jasperweir.components.configctl import control_calls as calls_lib
+from jasperweir.components.configctl import discovery_server
 from jasperweir.components.configctl import node as node_lib
-from jasperweir.components.configctl import roster as roster_lib
 from jasperweir.helpers import http_server
 from jasperweir.helpers import logs
 
@@ -17,7 +17,7 @@
 class ControlCalls:
     """Take calls to a ConfigNode, and its answers back to the callers."""
 
-    def __init__(self, *, dialect: door_lib.ControlDialect) -> None:
+    def __init__(self, *, dialect: calls_lib.ControlDialect) -> None:
         self._dialect = dialect
         self._open: dict[int, http_server.Answering] = {}
 
@@ -34,8 +34,8 @@
             node: Who is asked, None while the disk cannot be used.
             now: Monotonic seconds.
         """
-        call = door_lib.validate_call(self._dialect.call(answering.request))
-        if isinstance(call, door_lib.Invalid):
+        call = calls_lib.validate_call(self._dialect.call(answering.request))
+        if isinstance(call, calls_lib.Invalid):
             _log.info(
                 "call refused",
                 path=answering.request.path,
@@ -56,21 +56,21 @@
         act: (
             node_lib.Replaced
             | node_lib.Described
-            | roster_lib.Acknowledged
-            | roster_lib.Unconfirmed
+            | discovery_server.Acknowledged
+            | discovery_server.Unconfirmed
         ),
     ) -> None:
         """Give a caller what became of its call."""
         match act:
             case node_lib.Replaced():
                 self._reply(act.number, self._dialect.done(), act.version)
-            case roster_lib.Acknowledged():
+            case discovery_server.Acknowledged():
                 self._reply(act.number, self._dialect.done(), 0)
             case node_lib.Described():
                 raw = zlib.decompress(act.declared.data)
                 reply = self._dialect.described(act.declared, raw)
                 self._reply(act.number, reply, act.declared.version)
-            case roster_lib.Unconfirmed():
+            case discovery_server.Unconfirmed():
                 self._unconfirmed(act.number)
 
     def drop(self) -> None:
@@ -90,7 +90,7 @@
         reply = self._dialect.refused(code, problems)
         answering.reply(reply.status, reply.headers, reply.body)
 
-    def _reply(self, number: int, reply: door_lib.Reply, version: int) -> None:
+    def _reply(self, number: int, reply: calls_lib.Reply, version: int) -> None:
         answering = self._open.pop(number, None)
         if answering is None:
             return
@@ -105,23 +105,23 @@
 
 
 def _ask(
-    node: node_lib.ConfigNode, call: door_lib.Call, now: float
-) -> roster_lib.StartedRequest:
+    node: node_lib.ConfigNode, call: calls_lib.Call, now: float
+) -> discovery_server.StartedRequest:
     match call:
-        case door_lib.Replace():
+        case calls_lib.Replace():
             _log.info("replace asked", version=call.deployment.version)
             data = zlib.compress(call.raw, const.COMPRESS_LEVEL)
             return node.replace(call.deployment.version, data, now)
-        case door_lib.Announce():
+        case calls_lib.Announce():
             if call.target.presence:
                 _log.info(
                     "target leaves",
                     target=call.target.target_id,
                     born=call.target.born,
                 )
-            return node.roster.announce(call.target, now)
-        case door_lib.Deregister():
+            return node.discovery.announce(call.target, now)
+        case calls_lib.Deregister():
             _log.info("target gone", target=call.target_id, born=call.born)
-            return node.roster.deregister(call.target_id, now, call.born)
+            return node.discovery.deregister(call.target_id, now, call.born)
         case _:
             return node.describe(now)
--- a/jasperweir/daemons/site_control.py
+++ b/jasperweir/daemons/site_control.py
@@ -8,9 +8,9 @@
 from jasperweir import core
 from jasperweir import exceptions
 from jasperweir.components.configctl import const
-from jasperweir.components.configctl import door as door_lib
+from jasperweir.components.configctl import control_calls as calls_lib
+from jasperweir.components.configctl import discovery_server
 from jasperweir.components.configctl import node as node_lib
-from jasperweir.components.configctl import roster as roster_lib
 from jasperweir.components.deployment import model
 from jasperweir.components.directory import const as directory_const
 from jasperweir.components.mapswitch import actions as mapswitch_actions
@@ -62,7 +62,7 @@
         self,
         *,
         cfg: deployed.NodeSettings,
-        dialect: door_lib.ControlDialect,
+        dialect: calls_lib.ControlDialect,
         engines: engine_client.EngineDialect,
     ) -> None:
         self._cfg = cfg
@@ -134,7 +134,7 @@
             wanted_seats=self._cfg.wanted_seats,
             has_disk=bool(self._cfg.data_folder),
         )
-        side = self._storage.side()
+        side = self._storage.load_soft_state()
         self._perform(self._node.restore(recovered.commit_hint, side, now))
         _log.info(
             "data folder read",
@@ -147,7 +147,7 @@
         if self._cfg.bootstrap:
             lowest = min(self._cfg.seeds, default=self._cfg.internal)
             decides = lowest == self._cfg.internal
-            self._node.begin_founding(decides=decides, now=now)
+            self._node.start_bootstrap(decides=decides, now=now)
             self._perform(self._node.tick(now))
 
     def _disk_failed(self, exc: exceptions.StorageError) -> None:
@@ -162,7 +162,7 @@
     def _on_stop(self) -> None:
         _log.info("stop asked for")
         if self._node is not None:
-            self._perform(self._node.hand_over(self._host.now()))
+            self._perform(self._node.transfer_leadership(self._host.now()))
         self._stopping.set()
 
     def _on_reload(self) -> None:
@@ -184,12 +184,14 @@
         node = self._node
         if node is None:
             return
-        noted = (node.voter.commit, node.roster.directory.digest)
+        noted = (node.voter.commit, node.discovery.directory.digest)
         if noted == self._noted:
             return
         try:
             self._storage.save_commit_hint(node.voter.commit)
-            self._storage.note_side(node.roster.soft_state(self._host.now()))
+            self._storage.save_soft_state(
+                node.discovery.soft_state(self._host.now())
+            )
         except exceptions.StorageError as exc:
             # Only a restart would take longer without it.
             _log.warning("soft state not written", reason=str(exc))
@@ -200,13 +202,13 @@
         """Drive the switch of expert maps while this VM surely leads."""
         if self._term_at(now) and now >= self._nodes_at:
             self._nodes_at = now + NODES_SECONDS
-            for agent in node.roster.nodes.live_nodes(
+            for agent in node.discovery.nodes.live_nodes(
                 directory_const.KIND_AGENT, now
             ):
                 self._coordinator.on_agent(agent.name, agent.place, now)
             self._coordinator.on_entries(self._hold_givers(node, now))
             fresh_s = mapswitch_const.RELAY_FRESH_SECONDS
-            relays = node.roster.log_holders_by_place(now, fresh_s)
+            relays = node.discovery.log_holders_by_place(now, fresh_s)
             self._coordinator.on_relays(relays)
         self._perform(self._coordinator.tick(now))
         self._plan_soon()
@@ -239,9 +241,11 @@
         None that is stopping, and none on a VM of control, where there are
         others.
         """
-        entries = node.roster.nodes.live_nodes(directory_const.KIND_ENTRY, now)
+        entries = node.discovery.nodes.live_nodes(
+            directory_const.KIND_ENTRY, now
+        )
         entries = [entry for entry in entries if entry.open] or entries
-        controls = {name.rpartition(":")[0] for name in node.roster.controls}
+        controls = {name.rpartition(":")[0] for name in node.discovery.controls}
         controls.add(self._cfg.address)
         apart = [
             entry.name
@@ -262,13 +266,13 @@
             case relays_lib.OrderRelay():
                 acts = list(relays_lib.expand(msg))
             case quarantine_messages.Marks() | quarantine_messages.Compare():
-                roster = self._node.roster
+                discovery = self._node.discovery
                 acts = list(
                     self._spread.receive(
                         src,
                         msg,
-                        entries=roster.entries_to_refresh(now),
-                        controls=roster.peers(),
+                        entries=discovery.entries_to_refresh(now),
+                        controls=discovery.peers(),
                         now=now,
                     )
                 )
@@ -324,8 +328,8 @@
             case (
                 node_lib.Replaced()
                 | node_lib.Described()
-                | roster_lib.Acknowledged()
-                | roster_lib.Unconfirmed()
+                | discovery_server.Acknowledged()
+                | discovery_server.Unconfirmed()
             ):
                 self._calls.answer(act)
 
@@ -353,7 +357,7 @@
         now = self._host.now()
         if not self._slow_news.is_due(slow, now):
             return
-        for entry in node.roster.nodes.live_nodes(
+        for entry in node.discovery.nodes.live_nodes(
             directory_const.KIND_ENTRY, now
         ):
             self._host.send(core.Send(dst=entry.name, msg=slow))
@@ -388,7 +392,7 @@
 def run(
     *,
     cfg: deployed.NodeSettings,
-    dialect: door_lib.ControlDialect,
+    dialect: calls_lib.ControlDialect,
     engines: engine_client.EngineDialect,
 ) -> None:
     """Run a control VM until it is stopped."""
