--- a/features/declared.feature
+++ b/features/declared.feature
@@ -1,88 +1,88 @@
-Feature: Whole configurations are kept by a quorum and never go back
+Feature: Configurations are replicated and never revert to an older version
 
-  Scenario: Three control VMs found one log and take a configuration
+  Scenario: Three control VMs bootstrap one log and accept a configuration
     Given a site with 3 control VMs and 2 entries
     When version 2 is sent to each control VM
-    Then every operator is told that version 2 is committed
-    And every entry acts on version 2
+    Then every operator gets the reply that version 2 is committed
+    And every entry applies version 2
 
-  Scenario: No configuration is taken before every founding member has a seat
+  Scenario: No configuration is accepted before every initial member has a seat
     Given a site with 3 control VMs of which only the first runs
     When version 2 is sent to the first control VM
-    Then no operator is told anything but to ask again
+    Then every operator is told to retry
 
-  Scenario: The highest version wins and an overtaken one is acknowledged
-    Given a calm site with version 9
+  Scenario: The highest version wins and a lower one is acknowledged
+    Given a site with committed version 9
     When version 5 is sent to "c2"
-    Then every operator is told that version 9 is committed
-    And every entry acts on version 9
+    Then every operator gets the reply that version 9 is committed
+    And every entry applies version 9
 
-  Scenario: The content that is held under a number wins
-    Given a calm site with version 9
+  Scenario: The first content of a version wins
+    Given a site with committed version 9
     When other content is sent as version 9 to "c3"
     Then a read at every control VM returns the first content of version 9
 
   Scenario: A cut-off control VM answers no read
-    Given a calm site with version 9
+    Given a site with committed version 9
     When "c3" is cut off from the other control VMs
     And 3 seconds pass at the site
     And "c3" is read
-    Then the reader is told to ask again
+    Then the reader is told to retry
 
-  Scenario: A leader that froze before a newer version answers no old read
-    Given a calm site with version 9
-    When the leading control VM freezes
+  Scenario: A leader frozen before a newer version returns no outdated read
+    Given a site with committed version 9
+    When the leader freezes
     And 4 seconds pass at the site
-    And version 12 is committed by the others
-    And the frozen control VM thaws and is read at once
+    And another leader commits version 12
+    And the frozen control VM resumes and is read at once
     Then no read returned a version below 12
 
-  Scenario: All control VMs restart and an entry that starts is served at once
-    Given a calm site with version 9
-    When all control VMs are killed and start again
+  Scenario: A new entry gets the configuration soon after all control VMs restart
+    Given a site with committed version 9
+    When all control VMs restart
     And a new entry starts
     And 0.6 seconds pass at the site
-    Then the new entry acts on version 9
+    Then the new entry applies version 9
 
-  Scenario: A wiped control VM comes back by a new seat
-    Given a calm site with version 9
+  Scenario: A wiped control VM gets a new seat
+    Given a site with committed version 9
     When "c2" loses its disk and starts again
     And 6 seconds pass at the site
-    Then 3 control VMs hold voting seats with their present disks
+    Then 3 control VMs hold voting seats with their current disks
     And a read at every control VM returns the first content of version 9
 
   Scenario: A replacement at another address takes the seat of the lost one
-    Given a calm site with version 9
-    When "c3" is gone for good and "c4" starts with an empty disk
+    Given a site with committed version 9
+    When "c3" is lost and "c4" starts with an empty disk
     And 8 seconds pass at the site
     Then the voting seats are "c1,c2,c4"
 
-  Scenario: Control VMs that no seed names get seats as well
-    Given a site with 6 control VMs of which two may be lost at once
+  Scenario: Control VMs that are not among the seeds get seats as well
+    Given a site with 6 control VMs that tolerates the loss of two
     When version 2 is sent to "c6"
-    Then every operator is told that version 2 is committed
-    And 5 of 6 control VMs vote, one stands by, all with their present disks
+    Then every operator gets the reply that version 2 is committed
+    And 5 of 6 control VMs are voters and one is a learner, all with their current disks
 
-  Scenario: Two of six disks are lost right after an acknowledgement
-    Given a site with 6 control VMs of which two may be lost at once
+  Scenario: An acknowledged version survives the loss of two of six disks
+    Given a site with 6 control VMs that tolerates the loss of two
     When version 2 is sent to "c1"
-    And the leader and one more lose their disks while all lose power
+    And all control VMs lose power and the leader and another one their disks
     And 8 seconds pass at the site
-    Then 5 of 6 control VMs vote, one stands by, all with their present disks
+    Then 5 of 6 control VMs are voters and one is a learner, all with their current disks
     And every control VM returns version 2
 
-  Scenario: What two losses could take is not acknowledged
+  Scenario: A version that two losses could destroy is not acknowledged
     Given a site with 6 control VMs of which only three run
     When version 2 is sent to "c1"
-    Then no operator is told anything but to ask again
-    And a while later version 2 is taken by the three
+    Then every operator is told to retry
+    And the three accept version 2 5 s later
 
-  Scenario Outline: Control VMs without a disk pass on what they are asked
+  Scenario Outline: Control VMs without a disk forward requests to the leader
     Given a site of 6 control VMs where "<without>" have no disk
     When version 2 is sent to each control VM
-    Then every operator is told that version 2 is committed
+    Then every operator gets the reply that version 2 is committed
     And every control VM returns version 2
-    And every entry acts on version 2
+    And every entry applies version 2
     And the voting seats are "<seats>"
 
     Examples:
@@ -91,63 +91,63 @@
       | c1,c2,c6 | c3,c4,c5 |
       | c1,c2,c3 | c4,c5,c6 |
 
-  Scenario: Control VMs that no seed names soon know an agent that starts
-    Given a site with 6 control VMs of which two may be lost at once
+  Scenario: Control VMs that are not among the seeds soon know a new agent
+    Given a site with 6 control VMs that tolerates the loss of two
     When an agent starts
     And 0.5 seconds pass at the site
     Then every control VM knows the agent
 
-  Scenario: A founder is named once, and nobody founds a second log
+  Scenario: Only one control VM bootstraps a log
     Given a site of 6 control VMs where "c1,c2,c3" have no disk
-    And a calm version 2
+    And version 2 is committed
     When "c1" restarts
-    And a copy of its word reaches "c5" and "c6"
+    And its bootstrap request reaches "c5" and "c6"
     And 3 seconds pass at the site
     Then the voting seats are "c4,c5,c6"
     And every control VM returns version 2
 
-  Scenario: A leaving target is known to a second control VM when it is told
-    Given a calm site with version 9
+  Scenario: A draining target is acknowledged once a second control VM knows it
+    Given a site with committed version 9
     And a target that every control VM and entry knows
-    When the target tells "c1" that it leaves
+    When the target reports to "c1" that it is draining
     And 0.3 seconds pass at the site
-    Then the target has its acknowledgement
-    And no entry would send to the target
+    Then the target gets its acknowledgement
+    And no entry routes requests to the target
 
-  Scenario: A control VM that nobody else hears does not confirm a leaving
-    Given a calm site with version 9
+  Scenario: An isolated control VM does not acknowledge a draining target
+    Given a site with committed version 9
     And a target that every control VM and entry knows
     When "c1" is cut off from the other control VMs
-    And the target tells "c1" that it leaves
+    And the target reports to "c1" that it is draining
     And 1 seconds pass at the site
-    Then the target is told to ask another control VM
+    Then the target gets no acknowledgement
 
-  Scenario: A late heartbeat does not bring a leaving target back
-    Given a calm site with version 9
+  Scenario: A delayed heartbeat does not reactivate a draining target
+    Given a site with committed version 9
     And a target that every control VM and entry knows
-    When the target tells "c1" that it leaves
-    And a heartbeat sent before that reaches "c2"
+    When the target reports to "c1" that it is draining
+    And an older heartbeat of the target reaches "c2"
     And 2 seconds pass at the site
-    Then no entry would send to the target
+    Then no entry routes requests to the target
 
-  Scenario: Control VMs that all restarted learn again who had left
-    Given a calm site with version 9
+  Scenario: Control VMs learn again which targets drain after they all restart
+    Given a site with committed version 9
     And a target that every control VM and entry knows
-    When the target tells "c1" that it leaves
+    When the target reports to "c1" that it is draining
     And 1 seconds pass at the site
-    And all control VMs lose their side state, are killed and start again
-    And a heartbeat sent before that reaches "c2"
+    And all control VMs restart without their soft state
+    And an older heartbeat of the target reaches "c2"
     And 3 seconds pass at the site
-    Then no entry would send to the target
-    And a new entry would not send to the target either
+    Then no entry routes requests to the target
+    And a new entry does not route requests to the target either
 
-  Scenario: A denial needs the leader's word that nothing newer exists
-    Given a calm site with version 9
-    Then every entry is certain of its configuration
+  Scenario: Entries confirm their configuration only while they reach the leader
+    Given a site with committed version 9
+    Then every entry can confirm its configuration
     When every entry is cut off from all control VMs
     And 1.5 seconds pass at the site
-    Then no entry is certain of its configuration
+    Then no entry can confirm its configuration
 
-  Scenario: Promises hold under random schedules of faults
+  Scenario: Guarantees hold under random schedules of faults
     When 60 random schedules of faults run on a site
-    Then every promise held in each of them
+    Then no schedule broke a guarantee
--- a/features/recovery.feature
+++ b/features/recovery.feature
@@ -1,9 +1,9 @@
 Feature: Callers are served again soon after a full power loss
 
-  Scenario: A VM that starts a little later than others is found soon after
-    Given 6 VMs that are dark for 0.4 s when others look for them
-    When they are looked for as by default, and without opening anew
-    Then by default they are found in less than 0.6 of the time
+  Scenario: A VM that starts slightly later than others is connected soon
+    Given 6 VMs that are unreachable for 0.4 s when others connect
+    When links connect with the default settings and without early reconnects
+    Then the default takes less than 0.6 of the time
 
   Scenario Outline: What comes before the configuration is kept by an entry that has just started
     Given an entry that has run for <age> s and has no configuration
@@ -142,14 +142,14 @@
       | 0.07    | refused     | still lasts   |
 
   Scenario: The first frame for a node waits until its connection is up
-    Given 8 nodes that have not been talked to yet
+    Given 8 nodes without a connection to them
     When each of them is sent one frame
-    Then each of them has got it
+    Then each of them receives it
 
-  Scenario: A frame for a node that is away is not kept
-    Given 8 nodes that have not been talked to yet
-    When each of them is sent one frame 0.5 s before it comes up
-    Then none of them has got it
+  Scenario: A frame for an unreachable node is dropped
+    Given 8 nodes without a connection to them
+    When each of them is sent one frame 0.5 s before it listens
+    Then none of them receives it
 
   Scenario Outline: Who is late leaves room only at an entry that has just started
     Given an entry that has run for <age> s with one free place of six
--- a/features/steps/declared_steps.py
+++ b/features/steps/declared_steps.py
@@ -1,4 +1,4 @@
-"""Steps on whole configurations, seats and the directory."""
+"""Steps on configurations, seats and the directory of a site."""
 
 import random
 
@@ -29,7 +29,7 @@
     context.asks = []
 
 
-@given("a calm site with version {version:d}")
+@given("a site with committed version {version:d}")
 def step_committed(context, version):
     step_site(context)
     context.asks = [context.site.replace("c1", version)]
@@ -62,7 +62,7 @@
     context.site.run(1.5)
 
 
-@then("every operator is told that version {version:d} is committed")
+@then("every operator gets the reply that version {version:d} is committed")
 def step_all_acknowledged(context, version):
     for ask in context.asks:
         got = context.site.results.get(ask)
@@ -70,13 +70,13 @@
         assert got.version == version, got
 
 
-@then("every entry acts on version {version:d}")
+@then("every entry applies version {version:d}")
 def step_entries_apply(context, version):
     site = context.site
     assert all(site.versions[n] == version for n in site.followers)
 
 
-@then("no operator is told anything but to ask again")
+@then("every operator is told to retry")
 def step_all_unconfirmed(context):
     for ask in context.asks:
         got = context.site.results.get(ask)
@@ -91,7 +91,7 @@
 
 
 def read_from_all(site):
-    """Read the configuration at every control VM; return what they tell."""
+    """Read the configuration at every control VM and return the results."""
     asks = [site.describe(name) for name in site.nodes]
     site.run(1.0)
     answers = [site.results.get(ask) for ask in asks]
@@ -117,19 +117,19 @@
     context.site.run(1.5)
 
 
-@then("the reader is told to ask again")
+@then("the reader is told to retry")
 def step_read_unconfirmed(context):
     got = context.site.results.get(context.read)
     assert isinstance(got, discovery_server.Unconfirmed), got
 
 
-@when("the leading control VM freezes")
+@when("the leader freezes")
 def step_freeze(context):
     context.old = context.site.leader()
     context.site.frozen.add(context.old)
 
 
-@when("version {version:d} is committed by the others")
+@when("another leader commits version {version:d}")
 def step_commit_others(context, version):
     site = context.site
     name = site.leader()
@@ -139,7 +139,7 @@
     assert site.acked[0] == version
 
 
-@when("the frozen control VM thaws and is read at once")
+@when("the frozen control VM resumes and is read at once")
 def step_thaw(context):
     site = context.site
     site.frozen.discard(context.old)
@@ -157,7 +157,7 @@
     assert all(r.declared.version >= version for r in described)
 
 
-@when("all control VMs are killed and start again")
+@when("all control VMs restart")
 def step_restart_all(context):
     site = context.site
     for name in site.names:
@@ -166,7 +166,7 @@
         site.start(name)
 
 
-@when("all control VMs lose their side state, are killed and start again")
+@when("all control VMs restart without their soft state")
 def step_restart_blank(context):
     site = context.site
     for name in site.names:
@@ -181,7 +181,7 @@
     context.site.start_entry("e9")
 
 
-@then("the new entry acts on version {version:d}")
+@then("the new entry applies version {version:d}")
 def step_new_acts(context, version):
     assert context.site.versions["e9"] == version
 
@@ -194,8 +194,8 @@
 
 
 @then(
-    "{voting:d} of {count:d} control VMs vote, one stands by, all with their"
-    " present disks"
+    "{voting:d} of {count:d} control VMs are voters and one is a learner, all"
+    " with their current disks"
 )
 def step_odd_seats(context, voting, count):
     site = context.site
@@ -206,7 +206,7 @@
     assert sum(seat.voting for seat in seats) == voting, seats
 
 
-@then("{count:d} control VMs hold voting seats with their present disks")
+@then("{count:d} control VMs hold voting seats with their current disks")
 def step_seats(context, count):
     site = context.site
     leader = site.nodes[site.leader()]
@@ -215,7 +215,7 @@
     assert len(found) == count, found
 
 
-@when('"{old}" is gone for good and "{new}" starts with an empty disk')
+@when('"{old}" is lost and "{new}" starts with an empty disk')
 def step_replace(context, old, new):
     site = context.site
     site.kill(old)
@@ -242,38 +242,38 @@
         assert follower.directory.serving("s", site.now)
 
 
-@when('the target tells "{name}" that it leaves')
+@when('the target reports to "{name}" that it is draining')
 def step_leaves(context, name):
     leaving = site_lib.target(sequence=7, presence=1)
     context.ack = context.site.announce(name, leaving)
 
 
-@then("the target has its acknowledgement")
+@then("the target gets its acknowledgement")
 def step_acked(context):
     got = context.site.results.get(context.ack)
     assert isinstance(got, discovery_server.Acknowledged), got
 
 
-@then("the target is told to ask another control VM")
+@then("the target gets no acknowledgement")
 def step_not_acked(context):
     got = context.site.results.get(context.ack)
     assert isinstance(got, discovery_server.Unconfirmed), got
 
 
-@then("no entry would send to the target")
+@then("no entry routes requests to the target")
 def step_target_excluded(context):
     site = context.site
     for follower in site.followers.values():
         assert not follower.directory.serving("s", site.now)
 
 
-@when('a heartbeat sent before that reaches "{name}"')
+@when('an older heartbeat of the target reaches "{name}"')
 def step_late_beat(context, name):
     context.site.run(0.2)
     context.site.announce(name, site_lib.target(sequence=6))
 
 
-@then("a new entry would not send to the target either")
+@then("a new entry does not route requests to the target either")
 def step_target_excluded_new_entry(context):
     site = context.site
     site.start_entry("e9")
@@ -281,7 +281,7 @@
     assert not site.followers["e9"].directory.serving("s", site.now)
 
 
-@then("every entry is certain of its configuration")
+@then("every entry can confirm its configuration")
 def step_certain(context):
     site = context.site
     assert all(f.certain(site.now) for f in site.followers.values())
@@ -293,7 +293,7 @@
     site.cut = {(e, c) for e in site.followers for c in site.names}
 
 
-@then("no entry is certain of its configuration")
+@then("no entry can confirm its configuration")
 def step_uncertain(context):
     site = context.site
     assert not any(f.certain(site.now) for f in site.followers.values())
@@ -309,13 +309,13 @@
             context.failures.append((seed, str(exc)))
 
 
-@then("every promise held in each of them")
+@then("no schedule broke a guarantee")
 def step_no_failures(context):
     assert not context.failures, context.failures
 
 
 def run_schedule(seed):
-    """Run one schedule: changes and reads among kills, cuts and losses."""
+    """Run one random schedule of changes, reads and faults."""
     rng = random.Random(seed)
     site = site_lib.Site(seed=seed)
     site.run(4.0)
@@ -352,7 +352,7 @@
     for ask in asks:
         got = site.results.get(ask)
         if all(n.machine.declared().version == 0 for n in site.nodes.values()):
-            # Nothing was ever committed: there is nothing to be read.
+            # No version was committed, so there is nothing to read.
             assert floor == 0 and isinstance(
                 got, discovery_server.Unconfirmed
             ), got
@@ -364,7 +364,7 @@
     assert not behind, f"{behind} behind {newest}"
 
 
-@given("a site with 6 control VMs of which two may be lost at once")
+@given("a site with 6 control VMs that tolerates the loss of two")
 def step_six(context):
     context.site = site_lib.Site(controls=6, wanted=5)
     context.site.run(4.0)
@@ -380,7 +380,7 @@
     context.asks = []
 
 
-@when("the leader and one more lose their disks while all lose power")
+@when("all control VMs lose power and the leader and another one their disks")
 def step_wipe_two(context):
     site = context.site
     leader = site.leader()
@@ -399,7 +399,7 @@
         assert declared.version == version, declared.version
 
 
-@then("a while later version {version:d} is taken by the three")
+@then("the three accept version {version:d} 5 s later")
 def step_taken_later(context, version):
     context.site.run(5.0)
     ask = context.site.replace("c1", version)
@@ -414,7 +414,7 @@
     context.asks = []
 
 
-@given("a calm version {version:d}")
+@given("version {version:d} is committed")
 def step_commit_version(context, version):
     context.asks = [context.site.replace("c1", version)]
     context.site.run(1.5)
@@ -428,7 +428,7 @@
     context.site.nodes[name].start_bootstrap(decides=True, now=context.site.now)
 
 
-@when('a copy of its word reaches "{one}" and "{two}"')
+@when('its bootstrap request reaches "{one}" and "{two}"')
 def step_bootstrap_requests(context, one, two):
     for name in (one, two):
         context.site.post("c1", name, config_messages.BootstrapRequest())
--- a/features/steps/recovery_steps.py
+++ b/features/steps/recovery_steps.py
@@ -1,4 +1,4 @@
-"""Steps of recovery from the loss of everything."""
+"""Steps on connections to nodes that start late."""
 
 import asyncio
 import socket
@@ -14,33 +14,33 @@
 from jasperweir.helpers import link
 from jasperweir.helpers import loop_link
 
-# Frames are sent this often until one arrives, seconds.
+# Interval at which frames are sent until one arrives.
 SEND_SECONDS = 0.1
 CONNECT_TIMEOUT_SECONDS = 5.0
 
 
 def start_link(liveness, port):
-    made = link.Link(
+    sender = link.Link(
         name="looking",
         address="127.0.0.1:0",
         incarnation=lambda: 1,
         deliver=lambda received: None,
         liveness=liveness,
     )
-    made.learn("late", f"127.0.0.1:{port}")
-    made.start()
-    return made
+    sender.learn("late", f"127.0.0.1:{port}")
+    sender.start()
+    return sender
 
 
 class UnreachableListener:
-    """A port at which opening packets are lost until ``begin``."""
+    """Port that drops connection requests until ``start`` is called."""
 
     def __init__(self, context):
         self.full_socket = socket.socket()
         self.full_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.full_socket.bind(("127.0.0.1", 0))
         self.port = self.full_socket.getsockname()[1]
-        # Nobody accepts, so that a full queue drops what comes.
+        # Connections are never accepted, so a full backlog drops new ones.
         self.full_socket.listen(0)
         self.fillers = [socket.socket() for _ in range(3)]
         for filler in self.fillers:
@@ -59,91 +59,98 @@
             self.connected_after_s = since_s
 
 
-@given("{count:d} VMs that are dark for {dark_s:g} s when others look for them")
-def step_unreachable(context, count, dark_s):
+@given(
+    "{count:d} VMs that are unreachable for {unreachable_s:g} s when others"
+    " connect"
+)
+def step_unreachable(context, count, unreachable_s):
     context.count = count
-    context.dark_s = dark_s
+    context.unreachable_s = unreachable_s
 
 
-@when("they are looked for as by default, and without opening anew")
+@when("links connect with the default settings and without early reconnects")
 def step_connect(context):
-    patient = link.Liveness(start_s=0.0)
+    no_reconnect = link.Liveness(start_s=0.0)
     with zmq.Context() as sockets:
-        looked = [
-            (way, UnreachableListener(sockets))
-            for way in (link.Liveness(), patient)
+        attempts = [
+            (liveness, UnreachableListener(sockets))
+            for liveness in (link.Liveness(), no_reconnect)
             for _ in range(context.count)
         ]
-        measure_connect_times(looked, context.dark_s)
-        times = [one.connected_after_s for _, one in looked]
-        for _, one in looked:
-            one.sock.close(0)
-    context.usual_s = statistics.median(times[: context.count])
-    context.patient_s = statistics.median(times[context.count :])
+        measure_connect_times(attempts, context.unreachable_s)
+        times = [listener.connected_after_s for _, listener in attempts]
+        for _, listener in attempts:
+            listener.sock.close(0)
+    context.default_s = statistics.median(times[: context.count])
+    context.no_reconnect_s = statistics.median(times[context.count :])
 
 
-def measure_connect_times(looked, dark_s):
-    """Let each link send until its listener, which begins late, is found."""
-    links = [start_link(way, one.port) for way, one in looked]
+def measure_connect_times(attempts, unreachable_s):
+    """Send over each link until its listener, started late, is connected."""
+    links = [
+        start_link(liveness, listener.port) for liveness, listener in attempts
+    ]
     start = time.monotonic()
-    begun_at = None
-    while any(one.connected_after_s is None for _, one in looked):
+    listening_at = None
+    while any(listener.connected_after_s is None for _, listener in attempts):
         now = time.monotonic()
-        assert now - start < CONNECT_TIMEOUT_SECONDS, "not found at all"
-        if begun_at is None and now - start >= dark_s:
-            begun_at = now
-            for _, one in looked:
-                one.start()
-        for made in links:
-            made.send("late", config_messages.Pull(held=0))
+        assert now - start < CONNECT_TIMEOUT_SECONDS, "no connection"
+        if listening_at is None and now - start >= unreachable_s:
+            listening_at = now
+            for _, listener in attempts:
+                listener.start()
+        for sender in links:
+            sender.send("late", config_messages.Pull(held=0))
         time.sleep(SEND_SECONDS)
-        if begun_at is not None:
-            for _, one in looked:
-                one.poll_connection(time.monotonic() - begun_at)
-    for made in links:
-        made.stop()
+        if listening_at is not None:
+            for _, listener in attempts:
+                listener.poll_connection(time.monotonic() - listening_at)
+    for sender in links:
+        sender.stop()
 
 
-@then("by default they are found in less than {share:g} of the time")
+@then("the default takes less than {share:g} of the time")
 def step_sooner(context, share):
-    seen = (context.usual_s, context.patient_s)
-    assert context.usual_s < share * context.patient_s, seen
+    times_s = (context.default_s, context.no_reconnect_s)
+    assert context.default_s < share * context.no_reconnect_s, times_s
 
 
-async def send_one_frame_to_each(listeners, away_s):
-    """Send each listener one frame; return how many have got theirs."""
-    made = loop_link.LoopLink(
+async def send_one_frame_to_each(listeners, listen_after_s):
+    """Send each listener one frame; return how many received it."""
+    sender = loop_link.LoopLink(
         name="talking",
         address="127.0.0.1:0",
         incarnation=lambda: 1,
         deliver=lambda received: None,
         liveness=link.Liveness(),
     )
-    made.start()
-    if not away_s:
+    sender.start()
+    if not listen_after_s:
         for listener in listeners:
             listener.start()
     for number, listener in enumerate(listeners):
-        made.learn(f"n{number}", f"127.0.0.1:{listener.port}")
-        made.send(f"n{number}", config_messages.Pull(held=0))
-    await asyncio.sleep(away_s)
-    if away_s:
+        sender.learn(f"n{number}", f"127.0.0.1:{listener.port}")
+        sender.send(f"n{number}", config_messages.Pull(held=0))
+    await asyncio.sleep(listen_after_s)
+    if listen_after_s:
         for listener in listeners:
             listener.start()
     await asyncio.sleep(0.5)
-    made.stop()
+    sender.stop()
     return sum(bool(listener.sock.poll(0)) for listener in listeners)
 
 
-@given("{count:d} nodes that have not been talked to yet")
+@given("{count:d} nodes without a connection to them")
 def step_nodes(context, count):
     context.count = count
 
 
-def run_send_one_frame(context, away_s):
+def run_send_one_frame(context, listen_after_s):
     with zmq.Context() as sockets:
         listeners = [UnreachableListener(sockets) for _ in range(context.count)]
-        context.got = asyncio.run(send_one_frame_to_each(listeners, away_s))
+        context.got = asyncio.run(
+            send_one_frame_to_each(listeners, listen_after_s)
+        )
         for listener in listeners:
             listener.sock.close(0)
 
@@ -153,16 +160,16 @@
     run_send_one_frame(context, 0.0)
 
 
-@when("each of them is sent one frame {seconds:g} s before it comes up")
+@when("each of them is sent one frame {seconds:g} s before it listens")
 def step_one_frame_early(context, seconds):
     run_send_one_frame(context, seconds)
 
 
-@then("each of them has got it")
+@then("each of them receives it")
 def step_each_got(context):
     assert context.got == context.count, context.got
 
 
-@then("none of them has got it")
+@then("none of them receives it")
 def step_none_got(context):
     assert context.got == 0, context.got
--- a/jasperweir/components/configctl/bootstrap_election.py
+++ b/jasperweir/components/configctl/bootstrap_election.py
@@ -1,16 +1,19 @@
-"""Who founds the log when the whole system starts for the first time.
+"""Choice of the control VM that bootstraps the log at the first start.
 
-Exactly one process may: two would found two logs. The control VM with the
-lowest name among the seeds decides, since all are given the same seeds then.
-It founds the log itself, or names one other that has a disk, and keeps to it.
-Sans-I/O.
+Exactly one control VM may bootstrap, or there would be two logs. All control
+VMs have the same seeds, and the seed with the lowest name decides: it
+bootstraps the log itself if it has a disk, or else chooses one control VM that
+has one, and never chooses another. Sans-I/O.
 """
 
 from jasperweir.components.configctl import const
 
 
 class BootstrapElection:
-    """The decision, at the control VM that has it."""
+    """Choice of the control VM that bootstraps the log.
+
+    Only the instance with ``decides`` set makes a choice.
+    """
 
     def __init__(
         self, *, name: str, has_disk: bool, decides: bool, now: float
@@ -21,11 +24,11 @@
         self._deadline = now + const.BOOTSTRAP_WAIT_SECONDS
 
     def on_applicant(self, name: str) -> None:
-        """Note a control VM with a disk that asks for a seat."""
+        """Record a control VM with a disk that requests a seat."""
         self._candidates.add(name)
 
     def choose_founder(self, now: float) -> str:
-        """Return who founds the log, or an empty string."""
+        """Return the control VM that bootstraps the log, or an empty string."""
         if not self._decides:
             return ""
         if not self._founder and now >= self._deadline:
--- a/jasperweir/components/configctl/const.py
+++ b/jasperweir/components/configctl/const.py
@@ -1,39 +1,38 @@
-"""Constants of control over whole configurations."""
+"""Constants of the control VMs."""
 
-# Fine enough for heartbeats and elections of the log.
+# Resolution of the timers, fine enough for log heartbeats and elections.
 TICK_SECONDS = 0.05
-# Control VMs tell each other and the nodes what they hold this often.
+# Interval of heartbeats between control VMs.
 HEARTBEAT_SECONDS = 0.25
-# Another control VM is not listed any more after this silence.
+# A control VM that is silent for this long is no longer advertised.
 CONTROL_SILENT_SECONDS = 3.0
-# All target records are sent this often even if nothing has changed, so that
-# their ages stay right: three times before a target would be forgotten.
+# Interval at which all target records are resent, so that their ages stay
+# correct: three times before an unrefreshed target expires.
 REFRESH_SECONDS = 10.0
-# A change that was sent to all has arrived after this long: some milliseconds
-# on a sound link; a packet that is lost comes again after 0.2 to 0.4 s.
+# Time within which an update reaches all nodes, one TCP retransmission
+# included.
 CHANGE_DELIVERY_SECONDS = 0.5
-# And a whole list that was sent after this long, on a link that 10 nodes
-# share; a node that lacks it gets it again.
+# Minimum interval between full lists sent to the same node.
 RESEND_LIST_SECONDS = 0.5
-# An operator waits a second for an answer; this is when it is told to ask
-# again, and when a question is dropped.
+# Timeout of a request; the operator, which waits for 1 s, is then answered
+# with a result that asks for a retry.
 REQUEST_TIMEOUT_SECONDS = 0.85
-# A question is sent again to the leader after this long.
+# Interval at which a pending request is resent to the leader.
 RESEND_REQUEST_SECONDS = 0.3
-# Large bodies are compressed at this zlib level: 1 is the fastest.
+# zlib level for configurations; 1 is the fastest.
 COMPRESS_LEVEL = 1
-# Entries of the log that a snapshot replaces; each holds a configuration.
+# Log length at which a snapshot is taken; each entry holds a configuration.
 COMPACT_ENTRIES = 64
-# A member that has been silent this long may lose its seat to a new one.
+# A member that is silent for this long may lose its seat to a new one.
 SEAT_SILENT_SECONDS = 2.0
-# A leader waits this long for control VMs that the seeds do not name: all
-# start within a third of a second, and a seat takes some tenths.
+# A leader waits this long for control VMs that are not among the seeds before
+# it accepts configurations with fewer seats than wanted.
 SEATS_WAIT_SECONDS = 5.0
-# Where the control VM that decides on the founder has no disk, it hears for so
-# long who has one; all start within a third of a second.
+# Time that a deciding control VM without a disk waits for requests for a seat
+# before it chooses one of the applicants to bootstrap the log.
 BOOTSTRAP_WAIT_SECONDS = 1.5
-# A process that asked for a seat longer ago than this is not considered.
+# Requests for a seat that are older than this are ignored.
 SEAT_REQUEST_TTL_SECONDS = 2.5
-# Time that the acknowledgement of a leaving target waits for a second
-# control VM to know of it.
+# Timeout for a second control VM to acknowledge that a target is draining or
+# gone.
 UPDATE_ACK_TIMEOUT_SECONDS = 0.5
--- a/jasperweir/components/configctl/control_calls.py
+++ b/jasperweir/components/configctl/control_calls.py
@@ -14,11 +14,11 @@
 
 
 class Replace(NamedTuple):
-    """An operator puts a configuration into force.
+    """Call of an operator that applies a configuration.
 
     Attributes:
-        raw: The configuration as it was sent, to be given back as it is.
-        deployment: Its content.
+        raw: The configuration as received; reads return it unchanged.
+        deployment: Its decoded content.
     """
 
     raw: bytes
@@ -26,21 +26,22 @@
 
 
 class Describe(NamedTuple):
-    """An operator reads the configuration in force."""
+    """Call of an operator that reads the applied configuration."""
 
 
 class Announce(NamedTuple):
-    """A target tells that it is there, or that it leaves."""
+    """Call of a target that is available or draining."""
 
     target: records.Target
 
 
 class Deregister(NamedTuple):
-    """A target tells that it is gone.
+    """Call that removes a target.
 
     Attributes:
         target_id: The target.
-        born: Which of its starts, Unix milliseconds, 0 if it does not say.
+        born: Start time of the target's incarnation in Unix milliseconds, 0
+            if unknown.
     """
 
     target_id: str
@@ -48,7 +49,12 @@
 
 
 class Invalid(NamedTuple):
-    """A call that cannot be carried out as it is."""
+    """Call that is refused.
+
+    Attributes:
+        code: Result code.
+        problems: Descriptions of the errors.
+    """
 
     code: Code
     problems: tuple[str, ...]
@@ -58,7 +64,7 @@
 
 
 class Reply(NamedTuple):
-    """An answer to a call."""
+    """HTTP response to a call."""
 
     status: int
     headers: http_message.Headers
@@ -66,26 +72,26 @@
 
 
 class ControlDialect(Protocol):
-    """Translate calls and answers; decides nothing."""
+    """Translates HTTP requests into calls and results into responses."""
 
     def call(self, req: http_message.Request) -> Call:
-        """Read a call."""
+        """Decode a call."""
 
     def deployment(self, raw: bytes) -> model.Deployment:
-        """Read a configuration that was accepted."""
+        """Decode a configuration that was accepted before."""
 
     def done(self) -> Reply:
-        """Return the answer to a call that has been carried out."""
+        """Return the response to a completed call."""
 
     def described(self, declared: ops.Declared, raw: bytes) -> Reply:
-        """Return the answer that holds a configuration."""
+        """Return the response that contains a configuration."""
 
     def refused(self, code: Code, problems: tuple[str, ...]) -> Reply:
-        """Return the answer to a call that was not carried out."""
+        """Return the response to a refused call."""
 
 
 def validate_call(call: Call) -> Call:
-    """Return a call, or what makes its configuration invalid."""
+    """Return the call, or Invalid if its configuration has problems."""
     if not isinstance(call, Replace):
         return call
     problems = check.problems(call.deployment)
--- a/jasperweir/components/configctl/digest_tracker.py
+++ b/jasperweir/components/configctl/digest_tracker.py
@@ -1,25 +1,24 @@
-"""Who lacks what was told, by the digests that they state; sans-I/O."""
+"""Detection of nodes that need a full list, by its digest; sans-I/O."""
 
 from jasperweir.components.configctl import const
 
 
 class DigestTracker:
-    """Digests of one list that others are told of, change by change.
+    """Tracks recent digests of a list that is replicated by updates.
 
-    A change goes to all at once, so a node that states the digest of a moment
-    ago has the change under way to it. The whole list, 16 KB at 197 targets,
-    went to each node with each beat that crossed a change; it goes to those
-    whose digest stays behind.
+    Each update is sent to all nodes at once, so a node that reports a recently
+    replaced digest has the update in transit. The full list is sent only to
+    nodes whose digest stays outdated.
     """
 
     def __init__(self) -> None:
         self._current = 0
-        # Earlier digests, with when each was replaced.
+        # Time at which each earlier digest was replaced.
         self._replaced_at: dict[int, float] = {}
         self._list_sent_at: dict[str, float] = {}
 
     def set_current(self, digest: int, now: float) -> None:
-        """Take in the digest in force."""
+        """Set the current digest."""
         if digest == self._current:
             return
         for old, at in list(self._replaced_at.items()):
@@ -31,7 +30,15 @@
         self._current = digest
 
     def needs_full_list(self, name: str, digest: int, now: float) -> bool:
-        """Tell whether a node is to be sent the whole list now."""
+        """Return whether to send a node the full list now.
+
+        A positive result counts as sent.
+
+        Args:
+            name: Name of the node.
+            digest: Digest that the node reported.
+            now: Monotonic seconds.
+        """
         if digest == self._current:
             return False
         replaced_at = self._replaced_at.get(digest, float("-inf"))
--- a/jasperweir/components/configctl/discovery_server.py
+++ b/jasperweir/components/configctl/discovery_server.py
@@ -1,7 +1,7 @@
-"""Targets, entries, agents and control VMs, as one control VM hears them.
+"""Registration and discovery of targets, nodes and control VMs; sans-I/O.
 
-Sans-I/O. Entries are told of changes at once and of everything now and then;
-a target that leaves has its acknowledgement when another control VM knows.
+Entries receive updates at once and all target records periodically. A draining
+target is acknowledged once another control VM has its update.
 """
 
 import itertools
@@ -23,39 +23,39 @@
 
 
 class Unconfirmed(NamedTuple):
-    """Action: tell a caller of control that nobody can confirm it now."""
+    """Action: report that a call could not be confirmed in time."""
 
     number: int
 
 
 class Acknowledged(NamedTuple):
-    """Action: tell a target that its leaving is known."""
+    """Action: acknowledge a target's heartbeat or deregistration."""
 
     number: int
 
 
 class StartedRequest(NamedTuple):
-    """A question's number and what is to be done for it now."""
+    """Number of a started request and its first actions."""
 
     number: int
     acts: Actions
 
 
 class Leader(NamedTuple):
-    """Name of a leading control VM, or empty, and the term of its lead."""
+    """Name of the leader of the log, empty if unknown, and its term."""
 
     name: str
     term: int
 
 
 class LogStatus(NamedTuple):
-    """What a control VM's log says, for its beats.
+    """State of the replicated log, for heartbeats.
 
     Attributes:
         version: Newest committed configuration version.
-        certain: Whether no newer one can be committed anywhere.
-        leader: Name of the control VM that leads, or empty.
-        term: Term of that lead.
+        certain: Whether no newer version can be committed anywhere.
+        leader: Name of the leader, empty if unknown.
+        term: Term of the leader.
         seats: Members of the log.
     """
 
@@ -67,12 +67,13 @@
 
 
 class DiscoveryServer:
-    """Who is there, and what is told to whom.
+    """Tracks targets, nodes and control VMs and distributes updates.
 
     Attributes:
-        directory: Targets, as announced here and at other control VMs.
-        controls: Names of all control VMs known, with when they were heard.
-        nodes: Entries and agents that beat here.
+        directory: Targets announced here and at other control VMs.
+        controls: Time of the last heartbeat by the name of each other control
+            VM, minus infinity before the first.
+        nodes: Entries and agents that send heartbeats here.
     """
 
     def __init__(
@@ -84,14 +85,14 @@
         numbers: "itertools.count[int]",
         keeps_log: bool = True,
     ) -> None:
-        """Begin with nobody known but the seeds.
+        """Initialize with the seeds as the only known control VMs.
 
         Args:
             name: Name of this control VM.
             place: Its data centre.
             seeds: Other control VMs.
-            numbers: Where the numbers of questions come from.
-            keeps_log: Whether it keeps the log on a disk.
+            numbers: Source of request numbers.
+            keeps_log: Whether it stores the log on a disk.
         """
         self.directory = directory_lib.Directory()
         self.controls: dict[str, float] = {}
@@ -102,7 +103,7 @@
         self._request_numbers = numbers
         self._keeps_log = keeps_log
         self._seats = quorum_messages.Seats()
-        # What each other control VM told last.
+        # Newest heartbeat of each other control VM.
         self._control_heartbeats: dict[str, records.ControlBeat] = {}
         self._unacked_updates: dict[int, float] = {}
         self._digest_tracker = digest_tracker.DigestTracker()
@@ -114,7 +115,7 @@
     # Targets.
 
     def announce(self, target: records.Target, now: float) -> StartedRequest:
-        """Take in a target's heartbeat; Acknowledged follows."""
+        """Handle a target's heartbeat; ends in Acknowledged or Unconfirmed."""
         before = self.directory.get(target.target_id)
         digest = self.directory.digest
         changed = self.directory.merge(target, now)
@@ -123,40 +124,40 @@
         number = next(self._request_numbers)
         if after is None or not changed:
             return StartedRequest(number, [Acknowledged(number=number)])
-        known = before is not None and before.presence is after.presence
-        return self._broadcast_target(after, digest, now, wait=not known)
+        was_known = before is not None and before.presence is after.presence
+        return self._broadcast_target(after, digest, now, wait=not was_known)
 
     def deregister(
         self, target_id: str, now: float, born: int = 0
     ) -> StartedRequest:
-        """Note that a target has gone; Acknowledged follows."""
+        """Remove a target; ends in Acknowledged or Unconfirmed."""
         digest = self.directory.digest
         gone = self.directory.leave(target_id, now, born)
         return self._broadcast_target(gone, digest, now, wait=True)
 
     # Inputs.
 
-    def tick(self, facts: LogStatus, now: float) -> Actions:
-        """Let time pass."""
-        self._seats = facts.seats
+    def tick(self, log_status: LogStatus, now: float) -> Actions:
+        """Run all timers."""
+        self._seats = log_status.seats
         self.directory.tick(now)
         out = self._expire_unacked_updates(now)
         if self.nodes.has_changes:
             out += self.nodes.publish_changes(now)
         if now >= self._next_heartbeat_at:
             self._next_heartbeat_at = now + const.HEARTBEAT_SECONDS
-            out += self._send_heartbeats(facts, now)
+            out += self._send_heartbeats(log_status, now)
         return out
 
     def receive(
-        self, src: str, msg: Any, facts: LogStatus, now: float
+        self, src: str, msg: Any, log_status: LogStatus, now: float
     ) -> Actions:
-        """Handle a message of another control VM, an entry or an agent."""
+        """Handle a message from a control VM, an entry or an agent."""
         match msg:
             case records.ControlBeat():
-                return self._on_control_heartbeat(src, msg, facts, now)
+                return self._on_control_heartbeat(src, msg, log_status, now)
             case records.NodeBeat():
-                return self._on_node_heartbeat(src, msg, facts, now)
+                return self._on_node_heartbeat(src, msg, log_status, now)
             case records.Targets():
                 return self._on_targets(msg, now)
             case records.News():
@@ -167,7 +168,7 @@
         return []
 
     def restore(self, soft_state: bytes, now: float) -> None:
-        """Take up what was announced before a restart."""
+        """Restore the targets known before a restart."""
         known = codec.unpack(soft_state, records.Targets)
         for target in known.targets:
             self.directory.merge(target, now)
@@ -175,8 +176,8 @@
     # Queries.
 
     def soft_state(self, now: float) -> bytes:
-        """Return what may be lost, but makes a restart quicker."""
-        return codec.pack(self._all_targets(now))
+        """Return state that may be lost but makes a restart faster."""
+        return codec.pack(self._make_target_list(now))
 
     def peers(self) -> list[str]:
         """Return the names of the other control VMs."""
@@ -187,30 +188,30 @@
         return list(names)
 
     def _advertised_controls(
-        self, facts: LogStatus, now: float
+        self, log_status: LogStatus, now: float
     ) -> tuple[str, ...]:
-        """Return the control VMs that nodes are to talk to."""
+        """Return the control VMs that nodes should connect to."""
         names = {self._name: None} if self._keeps_log else {}
-        names.update({seat.name: None for seat in facts.seats.seats})
-        for name, beat in self._control_heartbeats.items():
-            if beat.keeps_log and self._is_live(name, now):
+        names.update({seat.name: None for seat in log_status.seats.seats})
+        for name, heartbeat in self._control_heartbeats.items():
+            if heartbeat.keeps_log and self._is_live(name, now):
                 names[name] = None
         return tuple(names)
 
     def log_holders_by_place(
         self, now: float, fresh_s: float
     ) -> dict[str, str]:
-        """Return a control VM that keeps the log for each other data centre.
+        """Return one control VM with the log by other data centre.
 
         Args:
             now: Monotonic seconds.
-            fresh_s: Those that have been silent for longer are left out.
+            fresh_s: Maximum age of a control VM's heartbeat in seconds.
         """
         return {
-            beat.place: name
-            for name, beat in sorted(self._control_heartbeats.items())
-            if beat.keeps_log
-            and beat.place != self._place
+            heartbeat.place: name
+            for name, heartbeat in sorted(self._control_heartbeats.items())
+            if heartbeat.keeps_log
+            and heartbeat.place != self._place
             and now - self.controls[name] < fresh_s
         }
 
@@ -218,56 +219,59 @@
         return now - self.controls[name] < const.CONTROL_SILENT_SECONDS
 
     def reported_leader(self, now: float) -> Leader:
-        """Return the newest leader that other control VMs tell of."""
-        told = [
-            Leader(beat.leader, beat.term)
-            for name, beat in self._control_heartbeats.items()
-            if beat.leader and self._is_live(name, now)
+        """Return the leader with the highest term in live heartbeats."""
+        leaders = [
+            Leader(heartbeat.leader, heartbeat.term)
+            for name, heartbeat in self._control_heartbeats.items()
+            if heartbeat.leader and self._is_live(name, now)
         ]
-        return max(told, key=lambda leader: leader.term, default=Leader("", 0))
+        return max(
+            leaders, key=lambda leader: leader.term, default=Leader("", 0)
+        )
 
     # Other control VMs and nodes.
 
-    def _send_heartbeats(self, facts: LogStatus, now: float) -> Actions:
+    def _send_heartbeats(self, log_status: LogStatus, now: float) -> Actions:
         self.nodes.remove_silent(now)
         out = self.nodes.publish_changes(now)
         peers = self.peers()
-        beat = self._make_heartbeat(facts, now)
-        out += [core.Send(dst=name, msg=beat) for name in peers]
+        heartbeat = self._make_heartbeat(log_status, now)
+        out += [core.Send(dst=name, msg=heartbeat) for name in peers]
         if now >= self._next_refresh_at:
             self._next_refresh_at = now + const.REFRESH_SECONDS
             out += self._send_refresh(peers, now)
         return out
 
     def _send_refresh(self, peers: list[str], now: float) -> Actions:
-        """Tell how long ago targets were heard, though nothing has changed.
+        """Send the ages of target records, though nothing has changed.
 
-        Others are told by whoever a target announces itself to; an entry is
-        told by a control VM of its own data centre, if there is one, since
-        bytes between data centres are priced.
+        Other control VMs get the targets announced here. An entry gets all
+        targets from a control VM of its own data centre, if there is one, to
+        save traffic between data centres.
         """
-        heard = self._announced_targets
+        announced = self._announced_targets
         self._announced_targets = set()
-        fresh = self._all_targets(now, heard)
+        recent = self._make_target_list(now, announced)
         out: Actions = []
-        if fresh.targets:
-            out += [core.Send(dst=name, msg=fresh) for name in peers]
-        every = self._all_targets(now)
+        if recent.targets:
+            out += [core.Send(dst=name, msg=recent) for name in peers]
+        all_targets = self._make_target_list(now)
         out += [
-            core.Send(dst=name, msg=every)
+            core.Send(dst=name, msg=all_targets)
             for name in self.entries_to_refresh(now)
         ]
         return out
 
     def entries_to_refresh(self, now: float) -> list[str]:
-        """Return the entries that no control VM of their own place serves.
+        """Return the entries that this control VM refreshes.
 
-        Or that this one serves, being of their data centre.
+        These are the entries of its own data centre and of data centres
+        without a live control VM.
         """
         covered = {
-            beat.place
-            for name, beat in self._control_heartbeats.items()
-            if beat.keeps_log and self._is_live(name, now)
+            heartbeat.place
+            for name, heartbeat in self._control_heartbeats.items()
+            if heartbeat.keeps_log and self._is_live(name, now)
         }
         covered.discard(self._place)
         return [
@@ -277,24 +281,28 @@
         ]
 
     def _make_heartbeat(
-        self, facts: LogStatus, now: float
+        self, log_status: LogStatus, now: float
     ) -> records.ControlBeat:
-        controls = self._advertised_controls(facts, now)
+        controls = self._advertised_controls(log_status, now)
         return records.ControlBeat(
             place=self._place,
-            version=facts.version,
-            certain=facts.certain,
+            version=log_status.version,
+            certain=log_status.certain,
             keeps_log=self._keeps_log,
             digest=self.directory.digest,
             controls=controls,
             controls_digest=hashing.checksum(codec.pack(controls)) >> 1,
             nodes_digest=self.nodes.digest,
-            leader=facts.leader,
-            term=facts.term,
+            leader=log_status.leader,
+            term=log_status.term,
         )
 
     def _on_control_heartbeat(
-        self, src: str, msg: records.ControlBeat, facts: LogStatus, now: float
+        self,
+        src: str,
+        msg: records.ControlBeat,
+        log_status: LogStatus,
+        now: float,
     ) -> Actions:
         is_new = src not in self._control_heartbeats
         self.controls[src] = now
@@ -303,36 +311,38 @@
             self.controls.setdefault(name, float("-inf"))
         out: Actions = []
         if is_new:
-            # It learns of this one at once, not with the next beat.
-            out.append(core.Send(dst=src, msg=self._make_heartbeat(facts, now)))
+            # Introduce this control VM at once, not with the next heartbeat.
+            out.append(
+                core.Send(dst=src, msg=self._make_heartbeat(log_status, now))
+            )
         self._digest_tracker.set_current(self.directory.digest, now)
         if self._digest_tracker.needs_full_list(src, msg.digest, now):
-            out.append(core.Send(dst=src, msg=self._all_targets(now)))
+            out.append(core.Send(dst=src, msg=self._make_target_list(now)))
         return out
 
     def _on_node_heartbeat(
-        self, src: str, msg: records.NodeBeat, facts: LogStatus, now: float
+        self, src: str, msg: records.NodeBeat, log_status: LogStatus, now: float
     ) -> Actions:
         if not self.nodes.on_heartbeat(src, msg.node, now):
             return []
-        beat = self._make_heartbeat(facts, now)
-        if msg.controls_digest == beat.controls_digest:
-            # The names are a third of a beat: 75 of 211 bytes for five.
-            beat = beat._replace(controls=())
-        out: Actions = [core.Send(dst=src, msg=beat)]
+        heartbeat = self._make_heartbeat(log_status, now)
+        if msg.controls_digest == heartbeat.controls_digest:
+            # Leave out names that the node has, a third of the message.
+            heartbeat = heartbeat._replace(controls=())
+        out: Actions = [core.Send(dst=src, msg=heartbeat)]
         if msg.node.kind != directory_const.KIND_ENTRY:
             return out
         self._digest_tracker.set_current(self.directory.digest, now)
         if self._digest_tracker.needs_full_list(src, msg.digest, now):
-            out.append(core.Send(dst=src, msg=self._all_targets(now)))
+            out.append(core.Send(dst=src, msg=self._make_target_list(now)))
         if msg.node.open:
             out += self.nodes.resend_list(src, msg.nodes_digest, now)
         return out
 
-    def _all_targets(
+    def _make_target_list(
         self, now: float, only: set[str] | None = None
     ) -> records.Targets:
-        """Return all target records, or some of them."""
+        """Return all target records, or those with the IDs in ``only``."""
         rows = [
             (target, round(age, 1))
             for target, age in zip(
@@ -369,10 +379,10 @@
     def _notify_entries(
         self, target_id: str, before: int, now: float
     ) -> Actions:
-        """Tell the entries of a record that has changed.
+        """Send the entries the changed record of a target.
 
         Args:
-            target_id: The target.
+            target_id: ID of the target.
             before: Digest of all records before the change.
             now: Monotonic seconds.
         """
@@ -381,9 +391,9 @@
             return []
         after = self.directory.digest
         self._digest_tracker.set_current(after, now)
-        news = records.News(target=target, before=before, after=after)
+        update = records.News(target=target, before=before, after=after)
         return [
-            core.Send(dst=name, msg=news) for name in self.nodes.entry_names()
+            core.Send(dst=name, msg=update) for name in self.nodes.entry_names()
         ]
 
     def _broadcast_target(
@@ -391,9 +401,9 @@
     ) -> StartedRequest:
         number = next(self._request_numbers)
         out = self._notify_entries(target.target_id, before, now)
-        news = records.News(target=target, number=number if wait else 0)
+        update = records.News(target=target, number=number if wait else 0)
         peers = self.peers()
-        out += [core.Send(dst=name, msg=news) for name in peers]
+        out += [core.Send(dst=name, msg=update) for name in peers]
         if wait and peers:
             self._unacked_updates[number] = (
                 now + const.UPDATE_ACK_TIMEOUT_SECONDS
@@ -403,7 +413,9 @@
         return StartedRequest(number, out)
 
     def _expire_unacked_updates(self, now: float) -> Actions:
-        late = [n for n, until in self._unacked_updates.items() if now >= until]
-        for number in late:
+        expired = [
+            n for n, until in self._unacked_updates.items() if now >= until
+        ]
+        for number in expired:
             del self._unacked_updates[number]
-        return [Unconfirmed(number=number) for number in late]
+        return [Unconfirmed(number=number) for number in expired]
--- a/jasperweir/components/configctl/messages.py
+++ b/jasperweir/components/configctl/messages.py
@@ -1,4 +1,4 @@
-"""Messages about whole configurations."""
+"""Messages about configurations between control VMs and nodes."""
 
 from typing import NamedTuple
 
@@ -7,7 +7,13 @@
 
 @codec.message("configctl.replace_ask")
 class ReplaceRequest(NamedTuple):
-    """A control VM hands an operator's configuration to the leader."""
+    """Forwards an operator's configuration to the leader.
+
+    Attributes:
+        number: Request number, echoed by the reply.
+        version: Version of the configuration.
+        data: Compressed configuration.
+    """
 
     number: int
     version: int
@@ -16,7 +22,7 @@
 
 @codec.message("configctl.replace_answer")
 class ReplaceReply(NamedTuple):
-    """The leader has committed a configuration or holds a higher one."""
+    """Confirms that this or a higher version is committed."""
 
     number: int
     version: int
@@ -24,7 +30,12 @@
 
 @codec.message("configctl.read_ask")
 class ReadRequest(NamedTuple):
-    """A control VM asks the leader which version is the newest."""
+    """Requests the newest committed configuration from the leader.
+
+    Attributes:
+        number: Request number, echoed by the reply.
+        held: Newest version that the sender holds.
+    """
 
     number: int
     held: int
@@ -32,7 +43,13 @@
 
 @codec.message("configctl.read_answer")
 class ReadReply(NamedTuple):
-    """The newest version; its content if the asker does not hold it."""
+    """Newest committed version.
+
+    Attributes:
+        number: Number of the request.
+        version: Newest committed version.
+        data: Compressed configuration, empty if the requester holds it.
+    """
 
     number: int
     version: int
@@ -41,19 +58,19 @@
 
 @codec.message("configctl.found")
 class BootstrapRequest(NamedTuple):
-    """A control VM without a disk names the one that founds the log."""
+    """Tells the receiver, which has a disk, to bootstrap the log."""
 
 
 @codec.message("configctl.version")
 class VersionNews(NamedTuple):
-    """A version has been committed."""
+    """Notifies a node that a version has been committed."""
 
     version: int
 
 
 @codec.message("configctl.pull")
 class Pull(NamedTuple):
-    """A node asks for the newest committed configuration."""
+    """Requests the newest configuration if it is newer than ``held``."""
 
     held: int
 
--- a/jasperweir/components/configctl/node.py
+++ b/jasperweir/components/configctl/node.py
@@ -1,4 +1,4 @@
-"""Sans-I/O core of a control VM that keeps whole configurations."""
+"""Sans-I/O core of a control VM: configurations, seats and discovery."""
 
 import dataclasses
 import itertools
@@ -24,33 +24,34 @@
 
 
 class Replaced(NamedTuple):
-    """Action: tell an operator that its configuration is committed."""
+    """Action: confirm to an operator that a configuration is committed."""
 
     number: int
     version: int
 
 
 class Described(NamedTuple):
-    """Action: give an operator the newest configuration."""
+    """Action: return the newest configuration to an operator."""
 
     number: int
     declared: ops.Declared
 
 
 class NewVersion(NamedTuple):
-    """Action: a version has come into force here."""
+    """Action: a new version has been applied here."""
 
     version: int
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class PendingRequest:
-    """A question that waits for the leader's answer.
+    """Request that waits for the leader's reply.
 
     Attributes:
-        ask: The question in the form in which it goes to a leader.
-        until: When it is given up, monotonic seconds.
-        sent_to: Leader that has it, with the time, for sending it again.
+        request: Message for the leader.
+        expires_at: Time of its timeout, monotonic seconds.
+        sent_to: Leader that it was last sent to, or empty.
+        sent_at: Time of the last send, monotonic seconds.
     """
 
     request: messages.ReplaceRequest | messages.ReadRequest
@@ -60,18 +61,24 @@
 
 
 class Waiter(NamedTuple):
-    """Somebody who waits until an operation is committed."""
+    """Process that waits until an operation is committed.
+
+    Attributes:
+        src: Name of the process.
+        number: Number of its request.
+    """
 
     src: str
     number: int
 
 
 class ConfigNode:
-    """Replicated configuration, its reads, seats and the directory.
+    """Control VM: replicates configurations and serves discovery.
 
     Attributes:
+        name: Name of this control VM.
         voter: Member of the replicated log.
-        machine: What is committed.
+        machine: State machine with the committed operations.
         discovery: Targets, entries, agents and other control VMs.
     """
 
@@ -90,12 +97,12 @@
         self.machine = machine_lib.Machine()
         self._wanted_seats = wanted_seats
         voter.wanted_voters = wanted_seats
-        # Without a disk it asks for no seat, and passes questions on.
+        # Without a disk it holds no seat and forwards requests to the leader.
         self._has_disk = has_disk
         self._bootstrap_election: bootstrap_lib.BootstrapElection | None = None
         others = tuple(seed for seed in seeds if seed != name)
-        # Members without which nothing is taken in, even where the
-        # deployment turns out to have fewer control VMs than are wanted.
+        # Minimum number of voters for accepting configurations, for
+        # deployments with fewer control VMs than wanted seats.
         self._min_seats = min(wanted_seats, 1 + len(others))
         self._request_numbers = itertools.count(1)
         self.discovery = discovery_server.DiscoveryServer(
@@ -112,12 +119,12 @@
         if voter.snapshot.idx:
             self.machine.load(voter.snapshot.data)
 
-    # Questions of operators and targets.
+    # Requests of operators.
 
     def replace(
         self, version: int, data: bytes, now: float
     ) -> discovery_server.StartedRequest:
-        """Commit a configuration; a Replaced or Unconfirmed follows."""
+        """Start to commit a configuration; ends in Replaced or Unconfirmed."""
         number = next(self._request_numbers)
         request = messages.ReplaceRequest(
             number=number, version=version, data=data
@@ -125,7 +132,7 @@
         return self._start_request(number, request, now)
 
     def describe(self, now: float) -> discovery_server.StartedRequest:
-        """Read the newest; a Described or Unconfirmed follows."""
+        """Start to read the newest one; ends in Described or Unconfirmed."""
         number = next(self._request_numbers)
         held = self.machine.declared().version
         return self._start_request(
@@ -135,7 +142,7 @@
     # Inputs.
 
     def tick(self, now: float) -> Actions:
-        """Let time pass."""
+        """Run all timers."""
         out = self._process_actions(self.voter.tick(now), now)
         out += self._update_seats(now)
         out += self._send_pending(now)
@@ -147,7 +154,7 @@
         return out + self._compact()
 
     def receive(self, src: str, msg: Any, now: float) -> Actions:
-        """Handle a message from any process."""
+        """Handle a message from another process."""
         match msg:
             case messages.ReplaceRequest():
                 return self._on_replace_request(src, msg, now)
@@ -172,7 +179,7 @@
     def restore(
         self, commit_hint: int, soft_state: bytes, now: float
     ) -> Actions:
-        """Take up what was committed and announced before a restart.
+        """Restore the state from before a restart.
 
         Args:
             commit_hint: Index up to which the log was committed.
@@ -186,7 +193,12 @@
         )
 
     def start_bootstrap(self, *, decides: bool, now: float) -> None:
-        """Take part in founding the log, at the system's first start."""
+        """Take part in bootstrapping the log at the system's first start.
+
+        Args:
+            decides: Whether this control VM chooses who bootstraps the log.
+            now: Monotonic seconds.
+        """
         self._bootstrap_election = bootstrap_lib.BootstrapElection(
             name=self.name, has_disk=self._has_disk, decides=decides, now=now
         )
@@ -205,7 +217,7 @@
         return [core.Send(dst=founder, msg=messages.BootstrapRequest())]
 
     def _on_bootstrap_request(self) -> Actions:
-        """Found a new log with this disk as its only member."""
+        """Bootstrap a new log with this disk as its only member."""
         if self._bootstrap_election is None or not self._is_blank:
             return []
         self._bootstrap_election = None
@@ -217,10 +229,10 @@
 
     @property
     def _may_need_seat(self) -> bool:
-        """Whether it has no voting seat, or none any more.
+        """Whether it has no voting seat, or may have lost it.
 
-        One that was cut off may have lost its seat meanwhile, and nobody tells
-        it: it kept its old configuration for good.
+        A member that was cut off is not notified when its seat is removed, so
+        a member without a leader requests a seat too.
         """
         return not self.voter.is_voting or not self.voter.leader
 
@@ -232,7 +244,7 @@
         return [core.Send(dst=n, msg=hello) for n in self.discovery.peers()]
 
     def _leader(self, now: float) -> discovery_server.Leader:
-        """Return the leader, from other control VMs where no seat is held."""
+        """Return the leader; without a disk, as other control VMs report it."""
         if self._has_disk:
             return discovery_server.Leader(self.voter.leader, self.voter.term)
         return self.discovery.reported_leader(now)
@@ -248,10 +260,10 @@
         )
 
     def transfer_leadership(self, now: float) -> Actions:
-        """Give the lead to another member before a planned stop."""
+        """Transfer leadership to another member before a planned stop."""
         return self._process_actions(self.voter.transfer_leadership(now), now)
 
-    # Questions and their way to the leader.
+    # Requests to the leader.
 
     def _start_request(
         self,
@@ -362,10 +374,11 @@
                 return [Described(number=msg.number, declared=declared)]
 
     def _has_enough_seats(self, now: float) -> bool:
-        """Tell whether the loss that is to be borne leaves a majority.
+        """Return whether there are enough voters to accept a configuration.
 
-        The seeds name three control VMs at most, so the others are waited
-        for; after a while there are none.
+        The wanted number of voters survives the tolerated number of losses.
+        Control VMs that are not among the seeds may still join, so a smaller
+        number is accepted only after SEATS_WAIT_SECONDS.
         """
         voting = [s for s in self.voter.seats.seats if s.voting]
         if len(voting) >= self._wanted_seats:
@@ -407,17 +420,17 @@
                     number=waiter.number, version=answer.version
                 )
                 out += self._send_reply(waiter.src, reply)
-        # Nodes are told first, then the operator's answer leaves.
+        # Notify the nodes before the operator gets its reply.
         return self._announce_version(before) + out
 
     def _announce_version(self, before: int) -> Actions:
         version = self.machine.declared().version
         if version <= before:
             return []
-        news = messages.VersionNews(version=version)
+        notice = messages.VersionNews(version=version)
         out: Actions = [NewVersion(version=version)]
         out += [
-            core.Send(dst=name, msg=news)
+            core.Send(dst=name, msg=notice)
             for name in self.discovery.nodes.entry_names()
         ]
         return out
--- a/jasperweir/components/configctl/node_tracker.py
+++ b/jasperweir/components/configctl/node_tracker.py
@@ -1,8 +1,7 @@
-"""Entries and agents that beat to one control VM; sans-I/O.
+"""Entries and agents that send heartbeats to one control VM; sans-I/O.
 
-The entries that callers may use are a list that all entries need. It changes by
-one or a few at a time, and so it is told: a whole list goes only to an entry
-that has missed a change.
+The list of entries open to callers is replicated to all entries by updates; an
+entry that missed an update gets the full list.
 """
 
 from typing import Any
@@ -19,18 +18,18 @@
 
 
 class NodeReport(NamedTuple):
-    """A node's record and when it last beat."""
+    """Record of a node and the time of its last heartbeat."""
 
     node: records.Node
     heard_at: float
 
 
 class NodeTracker:
-    """Who beats here, and which entries callers may use.
+    """Tracks nodes by their heartbeats and publishes the open entries.
 
     Attributes:
-        digest: Digest of the list of entries as it was told last.
-        is_due: Whether the list may have changed since.
+        digest: Digest of the list of open entries as last published.
+        has_changes: Whether the list may have changed since.
     """
 
     def __init__(self) -> None:
@@ -41,7 +40,7 @@
         self._digest_tracker = digest_tracker.DigestTracker()
 
     def on_heartbeat(self, name: str, node: records.Node, now: float) -> bool:
-        """Take in a beat; return whether it is newer than the last one."""
+        """Record a heartbeat; return False if it is outdated."""
         known = self._reports.get(name)
         if known is not None and _is_older(node, known.node):
             return False
@@ -51,7 +50,7 @@
         return True
 
     def entry_names(self) -> list[str]:
-        """Return the entries that beat here; agents route nothing."""
+        """Return the names of the known entries, without agents."""
         return [
             name
             for name, report in self._reports.items()
@@ -59,11 +58,11 @@
         ]
 
     def get_place(self, name: str) -> str:
-        """Return the data centre of a node that beats here."""
+        """Return the data centre of a known node."""
         return self._reports[name].node.place
 
     def live_nodes(self, kind: str, now: float) -> list[records.Node]:
-        """Return the nodes of a kind that have beaten of late."""
+        """Return the nodes of a kind with a recent heartbeat."""
         silent_s = directory_const.NODE_SILENT_SECONDS
         if kind == directory_const.KIND_AGENT:
             silent_s = directory_const.AGENT_SILENT_SECONDS
@@ -74,16 +73,15 @@
         ]
 
     def remove_silent(self, now: float) -> None:
-        """Forget nodes that have been silent for long."""
+        """Remove nodes without a heartbeat for NODE_FORGET_SECONDS."""
         for name, report in list(self._reports.items()):
             if now - report.heard_at > directory_const.NODE_FORGET_SECONDS:
                 del self._reports[name]
 
     def publish_changes(self, now: float) -> Actions:
-        """Tell the entries which of them callers may use, where it changed.
+        """Send all entries the changes to the list of open entries.
 
-        The whole list went to all with each change: of 103 entries that start
-        together, 5 KB to each for each.
+        Only the changes are sent, to limit traffic while many entries start.
         """
         self.has_changes = False
         before = self._open_entries
@@ -99,13 +97,13 @@
         rows = sorted(self._open_entries.values())
         self.digest = hashing.checksum(codec.pack(rows)) >> 1
         self._digest_tracker.set_current(self.digest, now)
-        news = records.NodeNews(
+        update = records.NodeNews(
             before=old_digest, after=self.digest, nodes=tuple(changed)
         )
-        return [core.Send(dst=name, msg=news) for name in self.entry_names()]
+        return [core.Send(dst=name, msg=update) for name in self.entry_names()]
 
     def resend_list(self, name: str, digest: int, now: float) -> Actions:
-        """Send an entry the whole list if its digest shows that it needs it."""
+        """Send an entry the full list if its digest is outdated."""
         if not self._digest_tracker.needs_full_list(name, digest, now):
             return []
         nodes = records.Nodes(
@@ -117,7 +115,7 @@
 def _changed_nodes(
     before: dict[str, records.Node], after: dict[str, records.Node]
 ) -> list[records.Node]:
-    """Return what is new or different, and as not open what has left."""
+    """Return new and changed nodes, and removed ones marked as not open."""
     changed = [node for name, node in after.items() if before.get(name) != node]
     changed += [
         node._replace(open=False)
--- a/jasperweir/components/configctl/seats.py
+++ b/jasperweir/components/configctl/seats.py
@@ -1,4 +1,4 @@
-"""Which processes hold a seat in the log; the leader's decisions."""
+"""Changes of seats, decided by the leader of the log."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,14 @@
 
 
 class Applicant(NamedTuple):
-    """A process with a disk that asks for a seat."""
+    """Process with a disk that requests a seat.
+
+    Attributes:
+        name: Name of the process.
+        disk: Identity of its disk.
+        addr: Its internal address.
+        asked_at: Time of its last request, monotonic seconds.
+    """
 
     name: str
     disk: str
@@ -24,29 +31,30 @@
     wanted: int,
     now: float,
 ) -> messages.Seats | None:
-    """Return the next single change of seats, or None.
+    """Return the seats after the next change, or None if none is needed.
 
-    Seats are changed one at a time, so that each majority meets the one
-    before it. A wiped disk loses its old seat before it gets a new one.
+    Only one seat is changed at a time, so that the majorities before and after
+    the change overlap. A member with a wiped disk loses its old seat before it
+    gets a new one.
 
     Args:
-        seats: Seats in force.
-        applicants: Processes that ask for a seat.
-        heard_at: When each other member last answered the leader.
-        wanted: Voting members that the deployment should have.
+        seats: Current seats.
+        applicants: Processes that request a seat.
+        heard_at: Time of each other member's last reply to the leader.
+        wanted: Wanted number of voting members.
         now: Monotonic seconds.
     """
-    fresh = [
+    recent = [
         a
         for a in applicants
         if now - a.asked_at < const.SEAT_REQUEST_TTL_SECONDS
     ]
     held = {seat.name: seat for seat in seats.seats}
-    for applicant in fresh:
+    for applicant in recent:
         seat = held.get(applicant.name)
         if seat is not None and seat.disk != applicant.disk:
             return _without_seat(seats, seat)
-    for applicant in fresh:
+    for applicant in recent:
         if applicant.name not in held:
             learner = messages.Seat(
                 name=applicant.name,
@@ -65,6 +73,8 @@
     return _without_seat(seats, silent[0]) if silent else None
 
 
-def _without_seat(seats: messages.Seats, gone: messages.Seat) -> messages.Seats:
-    left = tuple(seat for seat in seats.seats if seat != gone)
-    return seats._replace(seats=left)
+def _without_seat(
+    seats: messages.Seats, removed: messages.Seat
+) -> messages.Seats:
+    remaining = tuple(seat for seat in seats.seats if seat != removed)
+    return seats._replace(seats=remaining)
