--- a/features/steps/registry_steps.py
+++ b/features/steps/registry_steps.py
@@ -260,7 +260,7 @@
 
 def reports_for(revisions, burn=0.0, now=0.0):
     return {
-        name: rollout_lib.Reported(
+        name: rollout_lib.HeartbeatReport(
             control_messages.Beat(1, 1, "p", revision, 1, burn), now
         )
         for name, revision in revisions.items()
@@ -295,7 +295,7 @@
 @when("a second version is rolled and the nodes of one place lag")
 def lag(context):
     begin_roll(context)
-    times = [control_const.GATE_SECONDS * i / 9 for i in range(1, 9)]
+    times = [control_const.GATE_TIMEOUT_SECONDS * i / 9 for i in range(1, 9)]
     context.lagging = [step(context, 0, 0.0, now) for now in times]
 
 
@@ -303,9 +303,9 @@
 def waits(context):
     assert context.lagging == [None] * 8
     newest = context.desk.machine.table.revision
-    late = control_const.GATE_SECONDS * 0.95
-    assert step(context, newest, 0.0, late) is None
-    soaked = late + control_const.SOAK_SECONDS
+    almost_timeout = control_const.GATE_TIMEOUT_SECONDS * 0.95
+    assert step(context, newest, 0.0, almost_timeout) is None
+    soaked = almost_timeout + control_const.SOAK_SECONDS
     assert step(context, newest, 0.0, soaked).place == PLACES[1]
 
 
--- a/jasperweir/components/control/groups.py
+++ b/jasperweir/components/control/appointments.py
@@ -9,7 +9,7 @@
 Status = member_messages.Status
 
 
-def next_op(
+def next_appointment(
     machine: machine_lib.Machine, roster: roster_lib.Roster
 ) -> ops.Appoint | None:
     """Return the next appointment that is due, or None.
@@ -23,7 +23,7 @@
             groups.setdefault(member.group, []).append(member)
     for group, members in sorted(groups.items()):
         current = machine.appointment(group)
-        if current is not None and _still_fit(current, roster):
+        if current is not None and _is_valid(current, roster):
             continue
         chosen = min(members, key=lambda m: m.name)
         return ops.Appoint(
@@ -35,7 +35,7 @@
     return None
 
 
-def _still_fit(current: ops.Appointment, roster: roster_lib.Roster) -> bool:
+def _is_valid(current: ops.Appointment, roster: roster_lib.Roster) -> bool:
     member = roster.get(current.coordinator)
     if member is None or member.inc != current.incarnation:
         return False
--- a/jasperweir/components/control/client.py
+++ b/jasperweir/components/control/client.py
@@ -8,8 +8,8 @@
 from jasperweir.components.control import messages
 
 Actions = list[Any]
-UNANSWERED_SECONDS = 1.0
-FLOOR_ASK_SECONDS = 0.5
+ACK_TIMEOUT_SECONDS = 1.0
+MIN_REVISION_REQUEST_SECONDS = 0.5
 REPORT_JITTER_SECONDS = 0.1
 
 
@@ -27,7 +27,7 @@
         *,
         voters: tuple[str, ...],
         rng: random.Random,
-        every: float = const.BEAT_SECONDS,
+        every: float = const.HEARTBEAT_SECONDS,
     ) -> None:
         self.leader = ""
         self.leader_addr = ""
@@ -35,21 +35,21 @@
         self.heard_at = float("-inf")
         self._voters = voters
         self._rng = rng
-        self._every = every
-        self._beat_at = 0.0
-        self._beat_id = 0
-        self._sent: dict[int, float] = {}
-        self._answered_id = 0
-        self._reported = (-1, -1)
-        self._floor_at = 0.0
-        self._turn = rng.randrange(max(len(voters), 1))
+        self._interval_s = every
+        self._next_heartbeat_at = 0.0
+        self._heartbeat_id = 0
+        self._sent_at: dict[int, float] = {}
+        self._acked_id = 0
+        self._reported_state = (-1, -1)
+        self._next_min_revision_request_at = 0.0
+        self._voter_index = rng.randrange(max(len(voters), 1))
 
     def ask_floor(self, now: float) -> Actions:
         """Ask every voter for the floor until a leader has confirmed it."""
-        if self.floor is not None or now < self._floor_at:
+        if self.floor is not None or now < self._next_min_revision_request_at:
             return []
-        self._floor_at = now + FLOOR_ASK_SECONDS
-        ask = messages.FloorAsk(nonce=self._beat_id)
+        self._next_min_revision_request_at = now + MIN_REVISION_REQUEST_SECONDS
+        ask = messages.FloorAsk(nonce=self._heartbeat_id)
         return [core.Send(dst=name, msg=ask) for name in self._voters]
 
     def beat(
@@ -64,23 +64,23 @@
     ) -> Actions:
         """Report what is in force, at once when it has changed."""
         state = (revision, ready_epoch)
-        if state != self._reported:
+        if state != self._reported_state:
             jitter = self._rng.uniform(0, REPORT_JITTER_SECONDS)
-            self._beat_at = min(self._beat_at, now + jitter)
-            self._reported = state
-        sent_at = self._sent.get(self._beat_id, now)
-        unanswered = self._answered_id < self._beat_id
-        if unanswered and now - sent_at >= UNANSWERED_SECONDS:
+            self._next_heartbeat_at = min(self._next_heartbeat_at, now + jitter)
+            self._reported_state = state
+        sent_at = self._sent_at.get(self._heartbeat_id, now)
+        unanswered = self._acked_id < self._heartbeat_id
+        if unanswered and now - sent_at >= ACK_TIMEOUT_SECONDS:
             self._next_voter()
-            self._beat_at = min(self._beat_at, now)
-        if now < self._beat_at:
+            self._next_heartbeat_at = min(self._next_heartbeat_at, now)
+        if now < self._next_heartbeat_at:
             return []
-        self._beat_at = now + self._every
-        self._beat_id += 1
-        self._sent[self._beat_id] = now
-        self._sent.pop(self._beat_id - 16, None)
+        self._next_heartbeat_at = now + self._interval_s
+        self._heartbeat_id += 1
+        self._sent_at[self._heartbeat_id] = now
+        self._sent_at.pop(self._heartbeat_id - 16, None)
         msg = messages.Beat(
-            beat_id=self._beat_id,
+            beat_id=self._heartbeat_id,
             inc=inc,
             place=place,
             revision=revision,
@@ -97,15 +97,15 @@
         Returns:
             The confirmed claim epoch and when its question left, or None.
         """
-        sent_at = self._sent.pop(msg.beat_id, None)
+        sent_at = self._sent_at.pop(msg.beat_id, None)
         if sent_at is None:
             return None
-        self._answered_id = max(self._answered_id, msg.beat_id)
+        self._acked_id = max(self._acked_id, msg.beat_id)
         self.heard_at = now
         if msg.leader and msg.leader != self.leader:
             # Only the leader's answers confirm anything: ask it at once.
-            self._beat_at = now
-        self._every = msg.every_s
+            self._next_heartbeat_at = now
+        self._interval_s = msg.every_s
         self.leader = msg.leader
         self.leader_addr = msg.leader_addr
         return (msg.epoch, sent_at) if msg.confirmed else None
@@ -117,9 +117,11 @@
             self.floor = msg.revision
 
     def _destination(self) -> str:
-        return self.leader or self._voters[self._turn % len(self._voters)]
+        return (
+            self.leader or self._voters[self._voter_index % len(self._voters)]
+        )
 
     def _next_voter(self) -> None:
         self.leader = ""
-        self._turn += 1
-        self._answered_id = self._beat_id
+        self._voter_index += 1
+        self._acked_id = self._heartbeat_id
--- a/jasperweir/components/control/controller.py
+++ b/jasperweir/components/control/controller.py
@@ -6,11 +6,11 @@
 from jasperweir import core
 from jasperweir import result_codes
 from jasperweir.components.config import const as config_const
+from jasperweir.components.control import appointments
 from jasperweir.components.control import const
-from jasperweir.components.control import groups
 from jasperweir.components.control import messages
 from jasperweir.components.control import rollout as rollout_lib
-from jasperweir.components.control import views as views_lib
+from jasperweir.components.control import view_planner
 from jasperweir.components.membership import const as member_const
 from jasperweir.components.membership import gossip as gossip_lib
 from jasperweir.components.quorum import actions
@@ -25,7 +25,7 @@
 Code = result_codes.Code
 
 
-class Answered(NamedTuple):
+class OperationApplied(NamedTuple):
     """Action: an operation was applied; tell whoever waits for it."""
 
     op_id: str
@@ -53,41 +53,45 @@
         self.voter = voter
         self.machine = machine
         self.gossip = gossip
-        self.reports: dict[str, rollout_lib.Reported] = {}
+        self.reports: dict[str, rollout_lib.HeartbeatReport] = {}
         self._address = address
         self._rollout = rollout_lib.Rollout()
-        self._views = views_lib.Views()
-        self._hello_at = 0.0
-        self._driven_index = 0
+        self._view_planner = view_planner.ViewPlanner()
+        self._next_hello_at = 0.0
+        self._automatic_op_index = 0
         # Membership and revision for which nothing was left to do.
-        self._settled = (-1, -1)
-        self._auto = 0
+        self._settled_state = (-1, -1)
+        self._automatic_op_count = 0
         if voter.snapshot.idx:
             machine.load(voter.snapshot.data)
-        self._name_log()
+        self._set_log_id()
 
     # Inputs.
 
     def tick(self, now: float, wall: float) -> Actions:
         """Let time pass."""
-        out = self._absorb(self.voter.tick(now))
+        out = self._process_actions(self.voter.tick(now))
         out += self.gossip.tick(now)
         if self.voter.has_lease(now):
-            out += self._drive(now, wall)
-        if not self.voter.is_voting and now >= self._hello_at:
-            self._hello_at = now + quorum_const.HELLO_SECONDS
-            out += self._hello()
+            out += self._propose_automatic_op(now, wall)
+        if not self.voter.is_voting and now >= self._next_hello_at:
+            self._next_hello_at = now + quorum_const.HELLO_SECONDS
+            out += self._request_seat()
         return out + self._compact()
 
     def receive(self, src: str, msg: Any, now: float) -> Actions:
         """Handle a message from any process."""
         match msg:
             case messages.Beat():
-                return self._on_beat(src, msg, now)
+                return self._on_heartbeat(src, msg, now)
             case messages.FloorAsk():
-                return [core.Send(dst=src, msg=self._floor(msg, now))]
+                return [
+                    core.Send(
+                        dst=src, msg=self._make_min_revision_reply(msg, now)
+                    )
+                ]
         if type(msg).__module__ == quorum_messages.__name__:
-            return self._absorb(self.voter.receive(src, msg, now))
+            return self._process_actions(self.voter.receive(src, msg, now))
         return self.gossip.receive(src, msg, now)
 
     def propose(
@@ -105,7 +109,7 @@
         index, out = self.voter.propose(codec.pack(req), now)
         if not index:
             return Code.NOT_LEADER, []
-        return Code.ACCEPTED, self._absorb(out)
+        return Code.ACCEPTED, self._process_actions(out)
 
     def add_seat(self, name: str, now: float) -> tuple[Code, Actions]:
         """Give a waiting process a seat as a learner, then as a voter."""
@@ -142,11 +146,11 @@
         index, out = self.voter.change_seats(seats, now)
         if not index:
             return Code.SEATS_BUSY, []
-        return Code.ACCEPTED, self._absorb(out)
+        return Code.ACCEPTED, self._process_actions(out)
 
     # Committed entries.
 
-    def _absorb(self, acts: Actions) -> Actions:
+    def _process_actions(self, acts: Actions) -> Actions:
         """Apply commits to the registry and pass the rest on."""
         out: Actions = []
         for act in acts:
@@ -155,7 +159,7 @@
                     out += self._apply(act.entries)
                 case actions.Restore():
                     self.machine.load(act.snapshot.data)
-                    self._name_log()
+                    self._set_log_id()
                 case _:
                     out.append(act)
         return out
@@ -165,14 +169,14 @@
         for entry in entries:
             if entry.kind != quorum_const.KIND_OP:
                 self.machine.skip(entry.idx)
-                self._name_log()
+                self._set_log_id()
                 continue
             answer = self.machine.apply(entry.idx, entry.data)
             op_id = codec.unpack(entry.data, ops.Request).op_id
-            out.append(Answered(op_id=op_id, answer=answer))
+            out.append(OperationApplied(op_id=op_id, answer=answer))
         return out
 
-    def _name_log(self) -> None:
+    def _set_log_id(self) -> None:
         self.machine.table.log_id = self.voter.seats.log_id
 
     def _compact(self) -> Actions:
@@ -183,13 +187,17 @@
 
     # Nodes.
 
-    def _on_beat(self, src: str, msg: messages.Beat, now: float) -> Actions:
-        self.reports[src] = rollout_lib.Reported(beat=msg, at=now)
+    def _on_heartbeat(
+        self, src: str, msg: messages.Beat, now: float
+    ) -> Actions:
+        self.reports[src] = rollout_lib.HeartbeatReport(
+            heartbeat=msg, received_at=now
+        )
         leader = self.voter.leader
         ack = messages.BeatAck(
             beat_id=msg.beat_id,
             confirmed=self.voter.read_index(now) is not None,
-            every_s=self.beat_seconds(),
+            every_s=self.heartbeat_interval_s(),
             epoch=self.machine.view().epoch,
             leader=leader,
             leader_addr=self._leader_address(),
@@ -201,7 +209,9 @@
             out.append(core.Send(dst=src, msg=delta))
         return out
 
-    def _floor(self, msg: messages.FloorAsk, now: float) -> messages.FloorReply:
+    def _make_min_revision_reply(
+        self, msg: messages.FloorAsk, now: float
+    ) -> messages.FloorReply:
         index = self.voter.read_index(now)
         return messages.FloorReply(
             nonce=msg.nonce,
@@ -215,7 +225,7 @@
         seat = self.voter.find_seat(self.voter.leader)
         return seat.addr if seat else ""
 
-    def _hello(self) -> Actions:
+    def _request_seat(self) -> Actions:
         msg = quorum_messages.Hello(disk=self.voter.disk, addr=self._address)
         own = self.gossip.roster.own.name
         return [
@@ -226,25 +236,25 @@
 
     # The leader's drivers.
 
-    def _drive(self, now: float, wall: float) -> Actions:
+    def _propose_automatic_op(self, now: float, wall: float) -> Actions:
         if self.voter.read_index(now) is None:
             return []
-        if self._driven_index > self.machine.table.revision:
+        if self._automatic_op_index > self.machine.table.revision:
             # The last automatic operation is not applied yet.
             return []
         op = self._next_op(now)
         if op is None:
             return []
-        self._auto += 1
+        self._automatic_op_count += 1
         req = ops.Request(
-            op_id=f"auto/{self.voter.term}/{self._auto}/{self.voter.name}",
-            who=f"{const.SELF}/{self.voter.name}",
+            op_id=f"auto/{self.voter.term}/{self._automatic_op_count}/{self.voter.name}",
+            who=f"{const.CONTROL_OPERATOR}/{self.voter.name}",
             at=wall,
             body=codec.pack_tagged(op),
         )
         index, out = self.voter.propose(codec.pack(req), now)
-        self._driven_index = index
-        return self._absorb(out)
+        self._automatic_op_index = index
+        return self._process_actions(out)
 
     def _next_op(self, now: float) -> Any:
         member_op = self._next_member_op(now)
@@ -252,13 +262,13 @@
             return member_op
         state = self.machine.roll()
         if state is None or state.halted or not state.pending:
-            self._rollout.idle()
+            self._rollout.reset()
             return None
         return self._rollout.next_op(
             state=state,
             revisions=self._place_revisions(),
             nodes=self.nodes_by_place(),
-            reports=self._fresh_reports(now),
+            reports=self._recent_reports(now),
             now=now,
         )
 
@@ -266,9 +276,12 @@
         """Follow the membership, at no cost while nothing has changed."""
         roster = self.gossip.roster
         key = (roster.version, self.machine.table.revision)
-        if key == self._settled and not self._views.unsettled:
+        if (
+            key == self._settled_state
+            and not self._view_planner.has_pending_change
+        ):
             return None
-        view_op = self._views.next_op(
+        view_op = self._view_planner.next_op(
             view=self.machine.view(),
             roster=roster,
             reports=self.reports,
@@ -276,14 +289,20 @@
         )
         if view_op is not None:
             return view_op
-        group_op = groups.next_op(self.machine, roster)
+        group_op = appointments.next_appointment(self.machine, roster)
         if group_op is None:
-            self._settled = key
+            self._settled_state = key
         return group_op
 
-    def _fresh_reports(self, now: float) -> dict[str, rollout_lib.Reported]:
-        oldest = now - const.BEATS_UNTIL_STALE * self.beat_seconds()
-        return {n: r for n, r in self.reports.items() if r.at >= oldest}
+    def _recent_reports(
+        self, now: float
+    ) -> dict[str, rollout_lib.HeartbeatReport]:
+        oldest = (
+            now - const.HEARTBEATS_UNTIL_STALE * self.heartbeat_interval_s()
+        )
+        return {
+            n: r for n, r in self.reports.items() if r.received_at >= oldest
+        }
 
     def _place_revisions(self) -> dict[str, int]:
         table = self.machine.table
@@ -293,10 +312,10 @@
             for key in table.keys(prefix)
         }
 
-    def beat_seconds(self) -> float:
+    def heartbeat_interval_s(self) -> float:
         """Return how often each node should beat."""
         count = len(self.gossip.roster.present(member_const.KIND_ENTRY))
-        return max(const.BEAT_SECONDS, count / const.BEATS_PER_SECOND)
+        return max(const.HEARTBEAT_SECONDS, count / const.HEARTBEATS_PER_SECOND)
 
     def nodes_by_place(self) -> dict[str, list[str]]:
         """Return the names of present entries by place."""
--- a/jasperweir/components/control/rollout.py
+++ b/jasperweir/components/control/rollout.py
@@ -8,11 +8,11 @@
 from jasperweir.components.registry import ops
 
 
-class Reported(NamedTuple):
+class HeartbeatReport(NamedTuple):
     """Newest beat of a node and when it came."""
 
-    beat: messages.Beat
-    at: float
+    heartbeat: messages.Beat
+    received_at: float
 
 
 class Rollout:
@@ -24,11 +24,11 @@
 
     def __init__(self) -> None:
         self._version = 0
-        self._baseline = 0.0
+        self._baseline_burn_rate = 0.0
         self._stepped_at = float("-inf")
-        self._quiet_since: float | None = None
+        self._soak_since: float | None = None
 
-    def idle(self) -> None:
+    def reset(self) -> None:
         """Note that no roll is under way; the next one begins anew."""
         self._version = 0
 
@@ -38,7 +38,7 @@
         state: ops.RollState | None,
         revisions: Mapping[str, int],
         nodes: Mapping[str, list[str]],
-        reports: Mapping[str, Reported],
+        reports: Mapping[str, HeartbeatReport],
         now: float,
     ) -> ops.RollStep | ops.RollHalt | None:
         """Return the operation to propose now, or None.
@@ -51,40 +51,44 @@
             now: Monotonic seconds.
         """
         if state is None or state.halted or not state.pending:
-            self.idle()
+            self.reset()
             return None
         if state.version != self._version:
-            self._begin(state, nodes, reports, now)
-        burn = self._burn(state.done, nodes, reports)
-        limit = max(const.HALT_BURN, 2 * self._baseline)
+            self._start_roll(state, nodes, reports, now)
+        burn = self._worst_burn_rate(state.done, nodes, reports)
+        limit = max(const.HALT_BURN_RATE, 2 * self._baseline_burn_rate)
         if burn > limit:
             reason = f"burn rate {burn:.1f} above {limit:.1f}"
             return ops.RollHalt(version=state.version, reason=reason)
-        if state.done and not self._gate(state, revisions, nodes, reports, now):
+        if state.done and not self._is_gate_open(
+            state, revisions, nodes, reports, now
+        ):
             return None
         self._stepped_at = now
-        self._quiet_since = None
+        self._soak_since = None
         return ops.RollStep(version=state.version, place=state.pending[0])
 
-    def _begin(
+    def _start_roll(
         self,
         state: ops.RollState,
         nodes: Mapping[str, list[str]],
-        reports: Mapping[str, Reported],
+        reports: Mapping[str, HeartbeatReport],
         now: float,
     ) -> None:
         self._version = state.version
         self._stepped_at = now
-        self._quiet_since = None
+        self._soak_since = None
         everywhere = (*state.done, *state.pending)
-        self._baseline = self._burn(everywhere, nodes, reports)
+        self._baseline_burn_rate = self._worst_burn_rate(
+            everywhere, nodes, reports
+        )
 
-    def _gate(
+    def _is_gate_open(
         self,
         state: ops.RollState,
         revisions: Mapping[str, int],
         nodes: Mapping[str, list[str]],
-        reports: Mapping[str, Reported],
+        reports: Mapping[str, HeartbeatReport],
         now: float,
     ) -> bool:
         place = state.done[-1]
@@ -92,25 +96,25 @@
         waiting = [
             name
             for name in nodes.get(place, [])
-            if name not in reports or reports[name].beat.revision < needed
+            if name not in reports or reports[name].heartbeat.revision < needed
         ]
-        if waiting and now - self._stepped_at < const.GATE_SECONDS:
+        if waiting and now - self._stepped_at < const.GATE_TIMEOUT_SECONDS:
             return False
-        if self._quiet_since is None:
-            self._quiet_since = now
-        return now - self._quiet_since >= const.SOAK_SECONDS
+        if self._soak_since is None:
+            self._soak_since = now
+        return now - self._soak_since >= const.SOAK_SECONDS
 
-    def _burn(
+    def _worst_burn_rate(
         self,
         places: tuple[str, ...],
         nodes: Mapping[str, list[str]],
-        reports: Mapping[str, Reported],
+        reports: Mapping[str, HeartbeatReport],
     ) -> float:
         """Return the median burn of the worst place's reporting nodes."""
         worst = 0.0
         for place in places:
             burns = sorted(
-                reports[name].beat.burn
+                reports[name].heartbeat.burn
                 for name in nodes.get(place, [])
                 if name in reports
             )
--- a/jasperweir/components/control/views.py
+++ b/jasperweir/components/control/view_planner.py
@@ -12,7 +12,7 @@
 Status = member_messages.Status
 
 
-class Views:
+class ViewPlanner:
     """Follow the membership with as few and as careful views as possible.
 
     A view may lose one owner of each range without loss of claims, so the
@@ -25,7 +25,7 @@
         self._epoch = 0
 
     @property
-    def unsettled(self) -> bool:
+    def has_pending_change(self) -> bool:
         """Whether the membership differs from the view for now."""
         return self._differs_since is not None
 
@@ -34,7 +34,7 @@
         *,
         view: ops.View,
         roster: roster_lib.Roster,
-        reports: Mapping[str, rollout.Reported],
+        reports: Mapping[str, rollout.HeartbeatReport],
         now: float,
     ) -> ops.SetView | None:
         """Return the view to propose now, or None."""
@@ -42,7 +42,7 @@
             self._epoch = view.epoch
             self._changed_at = now
             self._differs_since = None
-        wanted = self._wanted(view, roster)
+        wanted = self._wanted_members(view, roster)
         if not wanted or wanted == view.members:
             self._differs_since = None
             return None
@@ -50,12 +50,12 @@
             self._differs_since = now
         if now - self._differs_since < const.VIEW_DEBOUNCE_SECONDS:
             return None
-        patience = now - self._changed_at < const.VIEW_READY_SECONDS
-        if patience and not self._repaired(view, wanted, reports):
+        patience = now - self._changed_at < const.VIEW_REPAIR_TIMEOUT_SECONDS
+        if patience and not self._is_repaired(view, wanted, reports):
             return None
         return ops.SetView(epoch=view.epoch + 1, members=wanted)
 
-    def _wanted(
+    def _wanted_members(
         self, view: ops.View, roster: roster_lib.Roster
     ) -> tuple[tuple[str, int, str], ...]:
         current = set(view.members)
@@ -67,18 +67,18 @@
                 members.append(member)
         return tuple(sorted(members))
 
-    def _repaired(
+    def _is_repaired(
         self,
         view: ops.View,
         wanted: tuple[tuple[str, int, str], ...],
-        reports: Mapping[str, rollout.Reported],
+        reports: Mapping[str, rollout.HeartbeatReport],
     ) -> bool:
         for name, inc, place in view.members:
             if (name, inc, place) not in wanted:
                 continue
             report = reports.get(name)
-            if report is None or report.beat.inc != inc:
+            if report is None or report.heartbeat.inc != inc:
                 return False
-            if report.beat.ready_epoch < view.epoch:
+            if report.heartbeat.ready_epoch < view.epoch:
                 return False
         return True
--- a/jasperweir/daemons/control.py
+++ b/jasperweir/daemons/control.py
@@ -167,7 +167,7 @@
                     self._storage.save_snapshot(act.snapshot, act.kept)
                 case quorum_actions.RoleChanged():
                     self._on_role(act)
-                case controller_lib.Answered():
+                case controller_lib.OperationApplied():
                     code = str(int(act.answer.code))
                     self.host.metrics.inc("operations", code=code)
                     self._log_answer(act)
@@ -175,7 +175,7 @@
                 case core.Send():
                     self._send(act)
 
-    def _log_answer(self, act: controller_lib.Answered) -> None:
+    def _log_answer(self, act: controller_lib.OperationApplied) -> None:
         answer = act.answer
         name = result_codes.Code(answer.code).name.lower()
         self.host.log.info(
--- a/jasperweir/daemons/door.py
+++ b/jasperweir/daemons/door.py
@@ -64,7 +64,7 @@
             web.Route("POST", "/bootstrap", self._bootstrap),
         ]
 
-    def answered(self, act: controller_lib.Answered) -> None:
+    def answered(self, act: controller_lib.OperationApplied) -> None:
         """Wake whoever waits for an operation that was applied."""
         with self._lock:
             waiters = self._waiting.pop(act.op_id, [])
@@ -114,9 +114,9 @@
             return {"name": name, "revision": None, "heard_s_ago": None}
         return {
             "name": name,
-            "revision": report.beat.revision,
-            "burn": round(report.beat.burn, 2),
-            "heard_s_ago": round(now - report.at, 1),
+            "revision": report.heartbeat.revision,
+            "burn": round(report.heartbeat.burn, 2),
+            "heard_s_ago": round(now - report.received_at, 1),
         }
 
     def _bundle(self, req: web.Req) -> web.Resp:
@@ -198,7 +198,7 @@
         if result != Code.ACCEPTED:
             leader = self._controller.voter.leader
             return web.code_resp(result, leader, extra={"leader": leader})
-        if not waiter.event.wait(control_const.ANSWER_SECONDS):
+        if not waiter.event.wait(control_const.REQUEST_TIMEOUT_SECONDS):
             return web.code_resp(Code.UNCONFIRMED, request.op_id)
         assert waiter.answer is not None
         return self._op_resp(waiter.answer)
