--- a/jasperweir/components/control/appointments.py
+++ b/jasperweir/components/control/appointments.py
@@ -1,4 +1,4 @@
-"""Decide which agent coordinates each expert group."""
+"""Appointment of the agent that coordinates each expert group."""
 
 from jasperweir.components.membership import const as member_const
 from jasperweir.components.membership import messages as member_messages
@@ -14,8 +14,8 @@
 ) -> ops.Appoint | None:
     """Return the next appointment that is due, or None.
 
-    A coordinator is replaced only when it is dead, gone or leaving, or has
-    restarted; safety does not depend on that, grants are fenced by term.
+    A coordinator is replaced when it is dead, gone, leaving or restarted.
+    Safety doesn't depend on this, because grants are fenced by term.
     """
     groups: dict[str, list[member_messages.Member]] = {}
     for member in roster.members(member_const.KIND_AGENT):
--- a/jasperweir/components/control/client.py
+++ b/jasperweir/components/control/client.py
@@ -1,4 +1,4 @@
-"""A node's side of control: beats, the leader's address, the floor."""
+"""Client of the control VMs on an entry or agent."""
 
 import random
 from typing import Any
@@ -14,12 +14,13 @@
 
 
 class Client:
-    """Sans-I/O conversation of an entry or agent with the control VMs.
+    """Sans-I/O client that sends heartbeats to the control VMs.
 
     Attributes:
-        leader: Name of the control VM that answered as or for the leader.
-        floor: Revision learnt from a leader with a lease, or None.
-        heard_at: When a control VM last answered.
+        leader: Name of the leader as of the last answer, or empty.
+        leader_addr: Its internal address, or empty.
+        floor: Minimum revision confirmed by a leader with a lease, or None.
+        heard_at: Time of the last answer of a control VM.
     """
 
     def __init__(
@@ -45,12 +46,12 @@
         self._voter_index = rng.randrange(max(len(voters), 1))
 
     def ask_floor(self, now: float) -> Actions:
-        """Ask every voter for the floor until a leader has confirmed it."""
+        """Request the minimum revision until a leader has confirmed it."""
         if self.floor is not None or now < self._next_min_revision_request_at:
             return []
         self._next_min_revision_request_at = now + MIN_REVISION_REQUEST_SECONDS
-        ask = messages.FloorAsk(nonce=self._heartbeat_id)
-        return [core.Send(dst=name, msg=ask) for name in self._voters]
+        request = messages.FloorAsk(nonce=self._heartbeat_id)
+        return [core.Send(dst=name, msg=request) for name in self._voters]
 
     def beat(
         self,
@@ -62,7 +63,16 @@
         burn: float,
         now: float,
     ) -> Actions:
-        """Report what is in force, at once when it has changed."""
+        """Return a heartbeat when it is due; a changed state is due soon.
+
+        Args:
+            inc: Incarnation of this node.
+            place: Data centre of this node.
+            revision: Applied configuration revision.
+            ready_epoch: Newest claim view for which the node is repaired.
+            burn: Burn rate of its error budget.
+            now: Monotonic seconds.
+        """
         state = (revision, ready_epoch)
         if state != self._reported_state:
             jitter = self._rng.uniform(0, REPORT_JITTER_SECONDS)
@@ -92,10 +102,11 @@
     def on_ack(
         self, msg: messages.BeatAck, now: float
     ) -> tuple[int, float] | None:
-        """Take in an answer.
+        """Handle the answer to a heartbeat.
 
         Returns:
-            The confirmed claim epoch and when its question left, or None.
+            The confirmed claim epoch and the send time of the heartbeat, or
+            None if the answer confirms nothing.
         """
         sent_at = self._sent_at.pop(msg.beat_id, None)
         if sent_at is None:
@@ -103,7 +114,7 @@
         self._acked_id = max(self._acked_id, msg.beat_id)
         self.heard_at = now
         if msg.leader and msg.leader != self.leader:
-            # Only the leader's answers confirm anything: ask it at once.
+            # Only the leader confirms the epoch, so contact it at once.
             self._next_heartbeat_at = now
         self._interval_s = msg.every_s
         self.leader = msg.leader
@@ -111,7 +122,7 @@
         return (msg.epoch, sent_at) if msg.confirmed else None
 
     def on_floor(self, msg: messages.FloorReply, now: float) -> None:
-        """Take in the floor, once."""
+        """Handle the minimum revision; only the first confirmed one counts."""
         self.heard_at = now
         if msg.confirmed and self.floor is None:
             self.floor = msg.revision
--- a/jasperweir/components/control/const.py
+++ b/jasperweir/components/control/const.py
@@ -1,21 +1,20 @@
 """Constants of the control component."""
 
 HEARTBEAT_SECONDS = 5.0
-# Beats a second that the leader asks for in all; with more nodes each beats
-# less often, so that the leader stays within its bytes.
+# Maximum rate of heartbeats at the leader. With more nodes, each sends them
+# less often.
 HEARTBEATS_PER_SECOND = 20.0
 HEARTBEATS_UNTIL_STALE = 3
-# A roll waits this long for a place's nodes before it goes on without those
-# that do not answer; they catch up when they can be heard again.
-# Four places with such a node in each are still reached within 12 s.
+# A roll waits this long for the nodes of a place and then continues without
+# those that have not reported the new revision. Nodes catch up later.
 GATE_TIMEOUT_SECONDS = 3.0
 SOAK_SECONDS = 0.5
-# A burn rate of 10 spends a month's error budget in three days.
+# Burn rate at which a roll halts; 10 uses a month's budget in three days.
 HALT_BURN_RATE = 10.0
 VIEW_DEBOUNCE_SECONDS = 1.0
 VIEW_REPAIR_TIMEOUT_SECONDS = 5.0
 COMPACT_ENTRIES = 1000
 REQUEST_TIMEOUT_SECONDS = 5.0
-# Fine enough for heartbeats and election timeouts of the log.
+# Resolution of the timers, fine enough for log heartbeats and elections.
 TICK_SECONDS = 0.05
 CONTROL_OPERATOR = "control"
--- a/jasperweir/components/control/controller.py
+++ b/jasperweir/components/control/controller.py
@@ -1,4 +1,4 @@
-"""Sans-I/O core of a control VM: log, registry, membership and drivers."""
+"""Sans-I/O core of a control VM: log, registry, membership and rolls."""
 
 from typing import Any
 from typing import NamedTuple
@@ -26,20 +26,20 @@
 
 
 class OperationApplied(NamedTuple):
-    """Action: an operation was applied; tell whoever waits for it."""
+    """Action: an operation was applied; answer its operator."""
 
     op_id: str
     answer: ops.Answer
 
 
 class Controller:
-    """Tie the voter to the registry and drive what the leader owes.
+    """Applies committed operations and proposes those the leader must make.
 
     Attributes:
-        voter: Consensus member.
-        machine: Registry, as far as it is committed and known here.
-        gossip: Membership and spreading of configuration.
-        reports: Newest beat of each node.
+        voter: Member of the replicated log.
+        machine: State machine with the committed operations.
+        gossip: Membership and replication of the configuration.
+        reports: Newest heartbeat by node name.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self._view_planner = view_planner.ViewPlanner()
         self._next_hello_at = 0.0
         self._automatic_op_index = 0
-        # Membership and revision for which nothing was left to do.
+        # Membership version and revision for which no operation was due.
         self._settled_state = (-1, -1)
         self._automatic_op_count = 0
         if voter.snapshot.idx:
@@ -69,7 +69,12 @@
     # Inputs.
 
     def tick(self, now: float, wall: float) -> Actions:
-        """Let time pass."""
+        """Run all timers.
+
+        Args:
+            now: Monotonic seconds.
+            wall: Seconds since the Unix epoch.
+        """
         out = self._process_actions(self.voter.tick(now))
         out += self.gossip.tick(now)
         if self.voter.has_lease(now):
@@ -80,7 +85,7 @@
         return out + self._compact()
 
     def receive(self, src: str, msg: Any, now: float) -> Actions:
-        """Handle a message from any process."""
+        """Handle a message from another process."""
         match msg:
             case messages.Beat():
                 return self._on_heartbeat(src, msg, now)
@@ -100,8 +105,8 @@
         """Propose an operation.
 
         Returns:
-            The recorded answer if the operation id is known, ACCEPTED if it
-            now stands in the log and waits for its commit, or NOT_LEADER.
+            The recorded answer if the operation ID is known, ACCEPTED if the
+            operation is in the log but not yet committed, or NOT_LEADER.
         """
         recorded = self.machine.recorded(req)
         if recorded is not None:
@@ -112,7 +117,7 @@
         return Code.ACCEPTED, self._process_actions(out)
 
     def add_seat(self, name: str, now: float) -> tuple[Code, Actions]:
-        """Give a waiting process a seat as a learner, then as a voter."""
+        """Give a process that requested it a seat, first as a learner."""
         hello = self.voter.seat_requests.get(name)
         if hello is None:
             return Code.NOT_FOUND, []
@@ -120,7 +125,7 @@
         if held is not None and held.disk == hello.disk:
             return Code.ACCEPTED, []
         if held is not None:
-            # The old disk must be voted out before the new one gets a seat.
+            # The seat of the old disk must be removed first.
             return Code.SEATS_BUSY, []
         seat = quorum_messages.Seat(
             name=name, disk=hello.disk, addr=hello.addr, voting=False
@@ -130,7 +135,7 @@
         return self._change_seats(seats, now)
 
     def remove_seat(self, name: str, now: float) -> tuple[Code, Actions]:
-        """Take a seat away, for good."""
+        """Remove a seat."""
         if self.voter.find_seat(name) is None:
             return Code.ACCEPTED, []
         seats = self.voter.seats._replace(
@@ -151,7 +156,7 @@
     # Committed entries.
 
     def _process_actions(self, acts: Actions) -> Actions:
-        """Apply commits to the registry and pass the rest on."""
+        """Apply commits to the registry and return the other actions."""
         out: Actions = []
         for act in acts:
             match act:
@@ -234,13 +239,13 @@
             if m.name != own
         ]
 
-    # The leader's drivers.
+    # Operations that the leader proposes.
 
     def _propose_automatic_op(self, now: float, wall: float) -> Actions:
         if self.voter.read_index(now) is None:
             return []
         if self._automatic_op_index > self.machine.table.revision:
-            # The last automatic operation is not applied yet.
+            # The last automatic operation is still uncommitted.
             return []
         op = self._next_op(now)
         if op is None:
@@ -273,7 +278,7 @@
         )
 
     def _next_member_op(self, now: float) -> Any:
-        """Follow the membership, at no cost while nothing has changed."""
+        """Return the operation due after a membership change, or None."""
         roster = self.gossip.roster
         key = (roster.version, self.machine.table.revision)
         if (
@@ -313,12 +318,12 @@
         }
 
     def heartbeat_interval_s(self) -> float:
-        """Return how often each node should beat."""
+        """Return the heartbeat interval of each node in seconds."""
         count = len(self.gossip.roster.present(member_const.KIND_ENTRY))
         return max(const.HEARTBEAT_SECONDS, count / const.HEARTBEATS_PER_SECOND)
 
     def nodes_by_place(self) -> dict[str, list[str]]:
-        """Return the names of present entries by place."""
+        """Return the names of live entries by data centre."""
         nodes: dict[str, list[str]] = {}
         for m in self.gossip.roster.present(member_const.KIND_ENTRY):
             nodes.setdefault(m.place, []).append(m.name)
--- a/jasperweir/components/control/messages.py
+++ b/jasperweir/components/control/messages.py
@@ -7,11 +7,13 @@
 
 @codec.message("control.beat")
 class Beat(NamedTuple):
-    """A node reports what it has in force.
+    """Heartbeat of a node with its state.
 
     Attributes:
-        beat_id: Echoed by the answer.
-        revision: Configuration revision in force.
+        beat_id: Number of the heartbeat, echoed by the answer.
+        inc: Incarnation of the node.
+        place: Data centre of the node.
+        revision: Applied configuration revision.
         ready_epoch: Newest claim view for which the node is repaired.
         burn: Burn rate of its error budget over the shortest window.
     """
@@ -26,12 +28,17 @@
 
 @codec.message("control.beat_ack")
 class BeatAck(NamedTuple):
-    """A control VM answers a beat; the leader is where to send the next.
+    """Answer of a control VM to a heartbeat.
 
     Attributes:
-        confirmed: Whether the sender leads with a lease, so that ``epoch``
-            is the newest claim view of all.
-        every_s: Seconds after which the next beat is wanted.
+        beat_id: Number of the heartbeat.
+        confirmed: Whether the sender is a leader with a lease, so that
+            ``epoch`` is the newest claim view.
+        every_s: Heartbeat interval in seconds.
+        epoch: Epoch of the claim view.
+        leader: Name of the leader, which gets the next heartbeat.
+        leader_addr: Its internal address.
+        revision: Newest configuration revision of the sender.
     """
 
     beat_id: int
@@ -45,14 +52,22 @@
 
 @codec.message("control.floor_ask")
 class FloorAsk(NamedTuple):
-    """A restarted node asks below which revision it must not serve."""
+    """Request of a restarted node for the minimum revision to serve."""
 
     nonce: int
 
 
 @codec.message("control.floor_reply")
 class FloorReply(NamedTuple):
-    """Answer of a voter; ``confirmed`` only from a leader with a lease."""
+    """Answer of a voter.
+
+    Attributes:
+        nonce: Number of the request.
+        confirmed: Whether the sender is a leader with a lease.
+        revision: Minimum revision, 0 if not confirmed.
+        leader: Name of the leader, or empty.
+        leader_addr: Its internal address, or empty.
+    """
 
     nonce: int
     confirmed: bool
--- a/jasperweir/components/control/rollout.py
+++ b/jasperweir/components/control/rollout.py
@@ -1,4 +1,4 @@
-"""Decide the next step of a roll from what the nodes report."""
+"""Planning of the next step of a roll from the nodes' heartbeats."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -9,17 +9,19 @@
 
 
 class HeartbeatReport(NamedTuple):
-    """Newest beat of a node and when it came."""
+    """Newest heartbeat of a node and the time of its arrival."""
 
     heartbeat: messages.Beat
     received_at: float
 
 
 class Rollout:
-    """Drive a roll from place to place with gates on health.
+    """Plans the steps of a roll, one data centre at a time.
 
-    The state that matters is in the log; what is kept here only delays the
-    next step, so a new leader may start with nothing.
+    The next data centre waits until the nodes of the last one report the new
+    revision and stay healthy for a soak time. The state of the roll is in the
+    log. The state here only delays the next step, so a new leader starts
+    without it.
     """
 
     def __init__(self) -> None:
@@ -29,7 +31,7 @@
         self._soak_since: float | None = None
 
     def reset(self) -> None:
-        """Note that no roll is under way; the next one begins anew."""
+        """Reset the state while no roll is in progress."""
         self._version = 0
 
     def next_op(
@@ -45,9 +47,9 @@
 
         Args:
             state: The newest roll.
-            revisions: Revision at which each place got its version.
-            nodes: Names of live entries by place.
-            reports: Newest beat of each node, without stale ones.
+            revisions: Revision at which each data centre got its version.
+            nodes: Names of live entries by data centre.
+            reports: Newest heartbeat by node name, without stale ones.
             now: Monotonic seconds.
         """
         if state is None or state.halted or not state.pending:
@@ -78,9 +80,9 @@
         self._version = state.version
         self._stepped_at = now
         self._soak_since = None
-        everywhere = (*state.done, *state.pending)
+        all_places = (*state.done, *state.pending)
         self._baseline_burn_rate = self._worst_burn_rate(
-            everywhere, nodes, reports
+            all_places, nodes, reports
         )
 
     def _is_gate_open(
@@ -93,12 +95,12 @@
     ) -> bool:
         place = state.done[-1]
         needed = revisions.get(place, 0)
-        waiting = [
+        lagging = [
             name
             for name in nodes.get(place, [])
             if name not in reports or reports[name].heartbeat.revision < needed
         ]
-        if waiting and now - self._stepped_at < const.GATE_TIMEOUT_SECONDS:
+        if lagging and now - self._stepped_at < const.GATE_TIMEOUT_SECONDS:
             return False
         if self._soak_since is None:
             self._soak_since = now
@@ -110,7 +112,7 @@
         nodes: Mapping[str, list[str]],
         reports: Mapping[str, HeartbeatReport],
     ) -> float:
-        """Return the median burn of the worst place's reporting nodes."""
+        """Return the highest median burn rate of any data centre."""
         worst = 0.0
         for place in places:
             burns = sorted(
--- a/jasperweir/components/control/view_planner.py
+++ b/jasperweir/components/control/view_planner.py
@@ -1,4 +1,4 @@
-"""Decide which entries own claims."""
+"""Planning of claim views, the sets of entries that own claims."""
 
 from collections.abc import Mapping
 
@@ -13,10 +13,10 @@
 
 
 class ViewPlanner:
-    """Follow the membership with as few and as careful views as possible.
+    """Proposes a new claim view after the membership has changed.
 
-    A view may lose one owner of each range without loss of claims, so the
-    next one waits until the last one is repaired, or long enough.
+    Claims survive the loss of one owner of each partition per view, so the
+    next view waits until the last one is repaired, or for a timeout.
     """
 
     def __init__(self) -> None:
@@ -26,7 +26,7 @@
 
     @property
     def has_pending_change(self) -> bool:
-        """Whether the membership differs from the view for now."""
+        """Whether the membership differs from the current view."""
         return self._differs_since is not None
 
     def next_op(
@@ -37,7 +37,7 @@
         reports: Mapping[str, rollout.HeartbeatReport],
         now: float,
     ) -> ops.SetView | None:
-        """Return the view to propose now, or None."""
+        """Return the operation to propose now, or None."""
         if view.epoch != self._epoch:
             self._epoch = view.epoch
             self._changed_at = now
@@ -50,8 +50,8 @@
             self._differs_since = now
         if now - self._differs_since < const.VIEW_DEBOUNCE_SECONDS:
             return None
-        patience = now - self._changed_at < const.VIEW_REPAIR_TIMEOUT_SECONDS
-        if patience and not self._is_repaired(view, wanted, reports):
+        may_wait = now - self._changed_at < const.VIEW_REPAIR_TIMEOUT_SECONDS
+        if may_wait and not self._is_repaired(view, wanted, reports):
             return None
         return ops.SetView(epoch=view.epoch + 1, members=wanted)
 
@@ -62,8 +62,8 @@
         members = []
         for m in roster.members(member_const.KIND_ENTRY):
             member = (m.name, m.inc, m.place)
-            keeps = m.status == Status.SUSPECT and member in current
-            if m.status == Status.ALIVE or keeps:
+            is_kept = m.status == Status.SUSPECT and member in current
+            if m.status == Status.ALIVE or is_kept:
                 members.append(member)
         return tuple(sorted(members))
 
--- a/script/guards.py
+++ b/script/guards.py
@@ -142,7 +142,7 @@
     Guard("a roll halts on burn", C + "control/rollout.py",
           "if burn > limit:", "if False:", "registry"),
     Guard("a roll waits for its place", C + "control/rollout.py",
-          "if waiting and now - self._stepped_at < const.GATE_TIMEOUT_SECONDS:",
+          "if lagging and now - self._stepped_at < const.GATE_TIMEOUT_SECONDS:",
           "if False:", "registry"),
     Guard("torn tail or damaged middle", C + "quorum/storage.py",
           "if pos < len(raw) and _has_intact_record_after(raw, pos):",
