--- a/features/steps/registry_steps.py
+++ b/features/steps/registry_steps.py
@@ -24,22 +24,22 @@
 PLACES = ("agadir-hall", "inezgane-hall", "taroudant-hall")
 
 
-class Desk:
+class RegistryClient:
     """Operators before a registry."""
 
     def __init__(self):
         self.machine = machine_lib.Machine()
         self.machine.table.log_id = "log"
-        self.idx = 0
-        self.count = 0
+        self.log_index = 0
+        self.op_count = 0
 
     def apply(self, op, op_id="", who="ana"):
-        self.idx += 1
-        self.count += 1
+        self.log_index += 1
+        self.op_count += 1
         req = ops.Request(
-            op_id or f"op-{self.count}", who, 1.0, codec.pack_tagged(op)
+            op_id or f"op-{self.op_count}", who, 1.0, codec.pack_tagged(op)
         )
-        return self.machine.apply(self.idx, codec.pack(req))
+        return self.machine.apply(self.log_index, codec.pack(req))
 
     def sign_off(self, content, op_id="", parent=None, digest=""):
         head = self.machine.head if parent is None else parent
@@ -58,7 +58,7 @@
             self.apply(ops.RollStep(version, place))
         return answer
 
-    def changed(self, **keys):
+    def content_with(self, **keys):
         content = dict(self.machine.content(self.machine.head))
         for key, value in keys.items():
             content[f"callers\x1f{key}"] = value
@@ -66,96 +66,96 @@
 
 
 @given("a registry with the example bundle in force")
-def registry(context):
-    context.desk = Desk()
+def step_registry(context):
+    context.registry = RegistryClient()
     context.content = model.read(ROOT / "examples" / "souss.ini")
-    assert context.desk.sign_off(context.content).code == Code.ACCEPTED
-    assert context.desk.roll(1).code == Code.ACCEPTED
+    assert context.registry.sign_off(context.content).code == Code.ACCEPTED
+    assert context.registry.roll(1).code == Code.ACCEPTED
 
 
 @when("two operators sign off different changes on the same parent")
-def race(context):
-    desk = context.desk
-    first = desk.changed(address_ttl_s="11")
-    second = desk.changed(address_ttl_s="12")
+def step_concurrent_sign_offs(context):
+    registry = context.registry
+    first = registry.content_with(address_ttl_s="11")
+    second = registry.content_with(address_ttl_s="12")
     context.answers = [
-        desk.sign_off(first, parent=1),
-        desk.sign_off(second, parent=1),
+        registry.sign_off(first, parent=1),
+        registry.sign_off(second, parent=1),
     ]
 
 
 @then('one is accepted and the other is told "{name}"')
-def one_wins(context, name):
+def step_one_accepted(context, name):
     codes = [Code(a.code).name for a in context.answers]
     assert codes == ["ACCEPTED", name], codes
 
 
 @when("an order is resent after other orders and a compaction")
-def resend(context):
-    desk = context.desk
-    content = desk.changed(address_ttl_s="11")
-    context.first = desk.sign_off(content, op_id="same")
+def step_resend(context):
+    registry = context.registry
+    content = registry.content_with(address_ttl_s="11")
+    context.first = registry.sign_off(content, op_id="same")
     for i in range(20, 30):
-        desk.sign_off(desk.changed(address_ttl_s=str(i)))
+        registry.sign_off(registry.content_with(address_ttl_s=str(i)))
     again = machine_lib.Machine()
-    again.load(desk.machine.dump())
-    desk.machine = again
-    context.head = desk.machine.head
+    again.load(registry.machine.dump())
+    registry.machine = again
+    context.head = registry.machine.head
     op = ops.SignOff(
         1,
         tuple(sorted(model.diff(context.content, content).items())),
         model.content_hash(content),
         "",
     )
-    context.again = desk.apply(op, "same")
+    context.again = registry.apply(op, "same")
 
 
 @then("it gets the first answer again and nothing was applied twice")
-def same_answer(context):
+def step_same_answer(context):
     assert context.again == context.first
-    assert context.desk.machine.head == context.head == 12
+    assert context.registry.machine.head == context.head == 12
 
 
 @when("an operation id is used again for another change")
-def reuse(context):
-    desk = context.desk
-    desk.sign_off(desk.changed(address_ttl_s="11"), op_id="same")
-    context.answer = desk.sign_off(
-        desk.changed(address_ttl_s="12"), op_id="same"
+def step_reuse_op_id(context):
+    registry = context.registry
+    registry.sign_off(registry.content_with(address_ttl_s="11"), op_id="same")
+    context.answer = registry.sign_off(
+        registry.content_with(address_ttl_s="12"), op_id="same"
     )
 
 
 @when("a change is tampered with on its way")
-def tamper(context):
-    desk = context.desk
-    context.answer = desk.sign_off(
-        desk.changed(address_ttl_s="11"), digest="0" * 64
+def step_tamper(context):
+    registry = context.registry
+    context.answer = registry.sign_off(
+        registry.content_with(address_ttl_s="11"), digest="0" * 64
     )
 
 
 @when("a bundle names a place that does not exist")
-def bad_place(context):
+def step_unknown_place(context):
     content = dict(context.content)
     content["service weir-assist\x1fplaces"] = "nowhere"
-    context.answer = context.desk.sign_off(content, digest="0" * 64)
+    context.answer = context.registry.sign_off(content, digest="0" * 64)
 
 
 @then('the answer is "{name}"')
-def answer_is(context, name):
+def step_answer(context, name):
     assert Code(context.answer.code).name == name, context.answer
 
 
 @when("a second version is rolled and then withdrawn")
-def withdrawn(context):
-    desk = context.desk
-    desk.sign_off(desk.changed(address_ttl_s="11"))
-    desk.roll(2)
-    context.answer = desk.apply(ops.Withdraw(2, "too slow"))
+def step_withdraw(context):
+    registry = context.registry
+    registry.sign_off(registry.content_with(address_ttl_s="11"))
+    registry.roll(2)
+    context.answer = registry.apply(ops.Withdraw(2, "too slow"))
 
 
 @then("every place is at version 3 with the content of version 1")
-def withdrawn_content(context):
-    machine = context.desk.machine
+def step_withdrawn_content(context):
+    machine = context.registry.machine
     assert context.answer.version == 3
     for place in PLACES:
         assert codec.unpack(machine.table.get(f"place/{place}"), int) == 3
@@ -163,23 +163,23 @@
 
 
 @then("the withdrawn version cannot be rolled again")
-def no_roll(context):
-    answer = context.desk.apply(ops.Roll(2))
+def step_no_roll(context):
+    answer = context.registry.apply(ops.Roll(2))
     assert answer.code == Code.WITHDRAWN
 
 
 @when("{count:d} changes are made while a node is away")
-def away(context, count):
-    context.node = node_with(context.desk.machine)
+def step_missed_changes(context, count):
+    context.node = make_replica(context.registry.machine)
     for i in range(count):
-        content = context.desk.changed(deadline_s=str(10 + i % 50))
-        context.desk.sign_off(content)
+        content = context.registry.content_with(deadline_s=str(10 + i % 50))
+        context.registry.sign_off(content)
         if i == count // 2:
-            context.desk.roll(context.desk.machine.head)
-    context.desk.roll(context.desk.machine.head)
+            context.registry.roll(context.registry.machine.head)
+    context.registry.roll(context.registry.machine.head)
 
 
-def node_with(machine):
+def make_replica(machine):
     node = replica_lib.Replica(place=PLACES[0])
     node.table.apply(machine.table.delta(0))
     node.floor = node.table.revision
@@ -188,8 +188,8 @@
 
 
 @then("one delta of at most {count:d} keys brings the node to the newest state")
-def one_delta(context, count):
-    machine = context.desk.machine
+def step_one_delta(context, count):
+    machine = context.registry.machine
     delta = machine.table.delta(context.node.table.revision)
     moved = [i for i in delta.items if not i.key.startswith("version/")]
     assert len(moved) <= count, [i.key for i in moved]
@@ -199,33 +199,33 @@
 
 
 @given("a node that has the newest state")
-def newest(context):
-    desk = context.desk
-    context.old = desk.machine.table.delta(0)
-    desk.sign_off(desk.changed(address_ttl_s="11"))
-    desk.roll(2)
-    context.node = node_with(desk.machine)
+def step_up_to_date(context):
+    registry = context.registry
+    context.old = registry.machine.table.delta(0)
+    registry.sign_off(registry.content_with(address_ttl_s="11"))
+    registry.roll(2)
+    context.node = make_replica(registry.machine)
 
 
 @then("an old delta changes nothing")
-def old_delta(context):
+def step_old_delta(context):
     assert not context.node.table.apply(context.old)
     assert not context.node.refresh() and context.node.version == 2
 
 
 @then("a delta of another log changes nothing")
-def foreign(context):
-    delta = context.desk.machine.table.delta(0)
+def step_other_log(context):
+    delta = context.registry.machine.table.delta(0)
     foreign = delta._replace(log_id="other", upto=10**6)
     assert not context.node.table.apply(foreign)
 
 
 @then("a damaged delta leaves the version in force")
-def damaged_delta(context):
-    desk = context.desk
-    desk.sign_off(desk.changed(address_ttl_s="13"))
-    desk.roll(3)
-    delta = desk.machine.table.delta(context.node.table.revision)
+def step_corrupt_delta(context):
+    registry = context.registry
+    registry.sign_off(registry.content_with(address_ttl_s="13"))
+    registry.roll(3)
+    delta = registry.machine.table.delta(context.node.table.revision)
     items = tuple(
         i._replace(value=codec.pack(((3, "99"),)))
         if i.key.startswith("bundle/")
@@ -238,17 +238,17 @@
 
 
 @then("a lower pointer leaves the version in force")
-def lower(context):
+def step_lower_pointer(context):
     node = context.node
     pointer = f"place/{PLACES[0]}"
     node.table.put(pointer, codec.pack(1), node.table.revision + 1)
     assert not node.refresh() and node.version == 2
     # The registry goes on from here, so its next pointer is newer.
-    context.desk.idx = node.table.revision
+    context.registry.log_index = node.table.revision
 
 
 @then("the node serves only once it knows a floor that it has reached")
-def floor(context):
+def step_min_revision(context):
     node = context.node
     node.floor = None
     assert not node.ready
@@ -258,7 +258,7 @@
     assert node.ready
 
 
-def reports_for(revisions, burn=0.0, now=0.0):
+def make_reports(revisions, burn=0.0, now=0.0):
     return {
         name: rollout_lib.HeartbeatReport(
             control_messages.Beat(1, 1, "p", revision, 1, burn), now
@@ -270,62 +270,62 @@
 NODES = {p: [f"n-{p}"] for p in PLACES}
 
 
-def step(context, revision, burn, now):
-    table = context.desk.machine.table
+def propose_next_op(context, revision, burn, now):
+    table = context.registry.machine.table
     op = context.rollout.next_op(
-        state=context.desk.machine.roll(),
+        state=context.registry.machine.roll(),
         revisions={p: table.revision_of(f"place/{p}") for p in PLACES},
         nodes=NODES,
-        reports=reports_for({f"n-{p}": revision for p in PLACES}, burn, now),
+        reports=make_reports({f"n-{p}": revision for p in PLACES}, burn, now),
         now=now,
     )
     if op is not None:
-        context.desk.apply(op)
+        context.registry.apply(op)
     return op
 
 
-def begin_roll(context):
-    desk = context.desk
+def start_roll(context):
+    registry = context.registry
     context.rollout = rollout_lib.Rollout()
-    desk.sign_off(desk.changed(address_ttl_s="11"))
-    desk.apply(ops.Roll(2))
-    assert step(context, 0, 0.0, 0.0).place == PLACES[0]
+    registry.sign_off(registry.content_with(address_ttl_s="11"))
+    registry.apply(ops.Roll(2))
+    assert propose_next_op(context, 0, 0.0, 0.0).place == PLACES[0]
 
 
 @when("a second version is rolled and the nodes of one place lag")
-def lag(context):
-    begin_roll(context)
+def step_nodes_lag(context):
+    start_roll(context)
     times = [control_const.GATE_TIMEOUT_SECONDS * i / 9 for i in range(1, 9)]
-    context.lagging = [step(context, 0, 0.0, now) for now in times]
+    context.lagging = [propose_next_op(context, 0, 0.0, now) for now in times]
 
 
 @then("the roll waits there and goes on when they have caught up")
-def waits(context):
+def step_roll_waits(context):
     assert context.lagging == [None] * 8
-    newest = context.desk.machine.table.revision
+    newest = context.registry.machine.table.revision
     almost_timeout = control_const.GATE_TIMEOUT_SECONDS * 0.95
-    assert step(context, newest, 0.0, almost_timeout) is None
+    assert propose_next_op(context, newest, 0.0, almost_timeout) is None
     soaked = almost_timeout + control_const.SOAK_SECONDS
-    assert step(context, newest, 0.0, soaked).place == PLACES[1]
+    assert propose_next_op(context, newest, 0.0, soaked).place == PLACES[1]
 
 
 @when("a second version is rolled and the first place burns its budget")
-def burns(context):
-    begin_roll(context)
-    newest = context.desk.machine.table.revision
-    context.op = step(context, newest, 50.0, 1.0)
+def step_budget_burns(context):
+    start_roll(context)
+    newest = context.registry.machine.table.revision
+    context.op = propose_next_op(context, newest, 50.0, 1.0)
 
 
 @then("the roll is halted with the reason and no further place is reached")
-def halted(context):
+def step_roll_halted(context):
     assert isinstance(context.op, ops.RollHalt)
-    state = context.desk.machine.roll()
+    state = context.registry.machine.roll()
     assert "burn rate 50.0" in state.halted and len(state.pending) == 2
-    assert step(context, 10**6, 0.0, 60.0) is None
+    assert propose_next_op(context, 10**6, 0.0, 60.0) is None
 
 
 @then("wrong settings are reported with file, section, key, found, allowed")
-def wrong_settings(context):
+def step_wrong_settings(context):
     path = context.folder / "entry.ini"
     path.write_text(
         "[node]\nname = a b\nplace = x\ncolour = red\n"
@@ -346,6 +346,6 @@
 
 
 @then('the example "{name}" is a valid bundle with {count:d} places')
-def example(context, name, count):
+def step_example(context, name, count):
     content = model.read(ROOT / "examples" / f"{name}.ini")
     assert len(model.typed(content).places) == count
--- a/jasperweir/components/config/replica.py
+++ b/jasperweir/components/config/replica.py
@@ -7,7 +7,7 @@
 from jasperweir.components.config import table as table_lib
 from jasperweir.components.registry import history
 from jasperweir.components.registry import ops
-from jasperweir.components.registry import view as view_lib
+from jasperweir.components.registry import view_cache
 from jasperweir.helpers import codec
 
 
@@ -31,7 +31,7 @@
         self.floor: int | None = None
         self.rejected = 0
         self._place = place
-        self._views = view_lib.CurrentView(table=self.table)
+        self._views = view_cache.ViewCache(table=self.table)
         self._typed_revision = 0
         self._contents: contents.Contents | None = None
         # Keys that hold values of versions above the one in force here.
@@ -89,7 +89,7 @@
 
     def view(self) -> ops.View:
         """Return the entries that own claims."""
-        return self._views.current()
+        return self._views.get()
 
     def appointment(self, group: str) -> ops.Appointment | None:
         """Return a group's coordinator."""
--- a/jasperweir/components/control/client.py
+++ b/jasperweir/components/control/client.py
@@ -28,7 +28,7 @@
         *,
         voters: tuple[str, ...],
         rng: random.Random,
-        every: float = const.HEARTBEAT_SECONDS,
+        interval_s: float = const.HEARTBEAT_SECONDS,
     ) -> None:
         self.leader = ""
         self.leader_addr = ""
@@ -36,7 +36,7 @@
         self.heard_at = float("-inf")
         self._voters = voters
         self._rng = rng
-        self._interval_s = every
+        self._interval_s = interval_s
         self._next_heartbeat_at = 0.0
         self._heartbeat_id = 0
         self._sent_at: dict[int, float] = {}
--- a/jasperweir/components/control/controller.py
+++ b/jasperweir/components/control/controller.py
@@ -108,7 +108,7 @@
             The recorded answer if the operation ID is known, ACCEPTED if the
             operation is in the log but not yet committed, or NOT_LEADER.
         """
-        recorded = self.machine.recorded(req)
+        recorded = self.machine.find_answer(req)
         if recorded is not None:
             return recorded, []
         index, out = self.voter.propose(codec.pack(req), now)
--- a/jasperweir/components/registry/machine.py
+++ b/jasperweir/components/registry/machine.py
@@ -13,14 +13,14 @@
 from jasperweir.components.registry import const
 from jasperweir.components.registry import history
 from jasperweir.components.registry import ops
-from jasperweir.components.registry import view as view_lib
+from jasperweir.components.registry import view_cache
 from jasperweir.helpers import codec
 from jasperweir.helpers import hashing
 
 Code = result_codes.Code
 
 
-class Recorded(NamedTuple):
+class RecordedAnswer(NamedTuple):
     """An answer kept for resends, with the digest of what was asked."""
 
     op_id: str
@@ -28,12 +28,12 @@
     answer: ops.Answer
 
 
-class Dump(NamedTuple):
+class StateDump(NamedTuple):
     """Whole state of the machine, for snapshots."""
 
     revision: int
     items: tuple[table_lib.Item, ...]
-    answers: tuple[Recorded, ...]
+    answers: tuple[RecordedAnswer, ...]
     audit: tuple[ops.AuditRecord, ...]
 
 
@@ -48,14 +48,14 @@
     def __init__(self) -> None:
         self.table = table_lib.Table()
         self.audit: collections.deque[ops.AuditRecord] = collections.deque(
-            maxlen=const.AUDIT_KEPT
+            maxlen=const.MAX_AUDIT_RECORDS
         )
-        self._views = view_lib.CurrentView(table=self.table)
-        self._answers: collections.OrderedDict[str, Recorded] = (
+        self._view_cache = view_cache.ViewCache(table=self.table)
+        self._answers: collections.OrderedDict[str, RecordedAnswer] = (
             collections.OrderedDict()
         )
         # Content of the newest version, so that a change costs its size.
-        self._head: contents.Contents | None = None
+        self._head_contents: contents.Contents | None = None
 
     # Queries.
 
@@ -77,7 +77,7 @@
 
     def view(self) -> ops.View:
         """Return the entries that own claims."""
-        return self._views.current()
+        return self._view_cache.get()
 
     def appointment(self, group: str) -> ops.Appointment | None:
         """Return a group's coordinator."""
@@ -96,7 +96,7 @@
         """Return the flat content of a version that is still kept."""
         return history.content_at(self.table, version)
 
-    def recorded(self, req: ops.Request) -> ops.Answer | None:
+    def find_answer(self, req: ops.Request) -> ops.Answer | None:
         """Return the answer of an operation that was applied before."""
         recorded = self._answers.get(req.op_id)
         if recorded is None:
@@ -111,7 +111,7 @@
         """Apply one committed operation, at most once per operation id."""
         req = codec.unpack(data, ops.Request)
         digest = hashing.checksum(req.body)
-        known = self.recorded(req)
+        known = self.find_answer(req)
         if known is not None:
             self.table.advance(index)
             return known
@@ -123,7 +123,7 @@
             answer = ops.Answer(Code.BAD_REQUEST, 0, str(exc))
             kind = "malformed"
         self.table.advance(index)
-        self._record(index, req, kind, digest, answer)
+        self._record_answer(index, req, kind, digest, answer)
         return answer
 
     def skip(self, index: int) -> None:
@@ -134,7 +134,7 @@
         """Return the whole state."""
         revision, items = self.table.dump()
         return codec.pack(
-            Dump(
+            StateDump(
                 revision=revision,
                 items=items,
                 answers=tuple(self._answers.values()),
@@ -144,15 +144,15 @@
 
     def load(self, data: bytes) -> None:
         """Replace the whole state."""
-        dump = codec.unpack(data, Dump)
+        dump = codec.unpack(data, StateDump)
         self.table.load(dump.revision, dump.items)
-        self._head = None
+        self._head_contents = None
         self._answers.clear()
         self._answers.update({r.op_id: r for r in dump.answers})
         self.audit.clear()
         self.audit.extend(dump.audit)
 
-    def _record(
+    def _record_answer(
         self,
         index: int,
         req: ops.Request,
@@ -160,8 +160,8 @@
         digest: int,
         answer: ops.Answer,
     ) -> None:
-        self._answers[req.op_id] = Recorded(req.op_id, digest, answer)
-        while len(self._answers) > const.ANSWERS_KEPT:
+        self._answers[req.op_id] = RecordedAnswer(req.op_id, digest, answer)
+        while len(self._answers) > const.MAX_ANSWERS:
             self._answers.popitem(last=False)
         self.audit.append(
             ops.AuditRecord(
@@ -202,23 +202,25 @@
         if op.parent != head:
             return ops.Answer(Code.STALE_PARENT, head, f"head is {head}")
         try:
-            new = self._patched(dict(op.change))
+            new = self._apply_change(dict(op.change))
         except exceptions.SettingsError as exc:
             return ops.Answer(Code.BAD_BUNDLE, head, exc.problems[0])
         if new.content_hash != op.content_hash:
             return ops.Answer(Code.HASH_MISMATCH, head, "content differs")
-        self._head = new
+        self._head_contents = new
         number = self._add_version(
             index, req, dict(op.change), op.content_hash, op.note
         )
         return ops.Answer(Code.ACCEPTED, number, op.content_hash)
 
-    def _patched(self, change: model.Change) -> contents.Contents:
+    def _apply_change(self, change: model.Change) -> contents.Contents:
         """Return the newest content with a change applied."""
-        if self._head is None and self.head:
-            self._head = contents.Contents.from_flat(self.content(self.head))
-        if self._head is not None:
-            return self._head.patch(change)
+        if self._head_contents is None and self.head:
+            self._head_contents = contents.Contents.from_flat(
+                self.content(self.head)
+            )
+        if self._head_contents is not None:
+            return self._head_contents.patch(change)
         first = {k: v for k, v in change.items() if v is not None}
         return contents.Contents.from_flat(first)
 
@@ -231,7 +233,7 @@
         note: str,
     ) -> int:
         number = self.head + 1
-        floor = self._oldest_needed()
+        floor = self._oldest_needed_version()
         for key, value in change.items():
             name = f"{config_const.PREFIX_BUNDLE}{key}"
             kept = history.prune(
@@ -251,7 +253,7 @@
         self.table.put(config_const.KEY_HEAD, codec.pack(number), index)
         return number
 
-    def _oldest_needed(self) -> int:
+    def _oldest_needed_version(self) -> int:
         """Return the oldest version that a place or a withdrawal may need."""
         needed = [max(self.head - 1, 0)]
         for key in self.table.keys(config_const.PREFIX_PLACE):
@@ -262,7 +264,7 @@
         record = self.version(op.version)
         if record is None:
             return ops.Answer(Code.UNKNOWN_VERSION, self.head, "")
-        if record.withdrawn or op.version < self._highest_in_force():
+        if record.withdrawn or op.version < self._max_applied_version():
             return ops.Answer(Code.WITHDRAWN, self.head, record.withdrawn)
         current = self.roll()
         if current and current.pending and not current.halted:
@@ -271,10 +273,12 @@
                     Code.ROLL_IN_PROGRESS, current.version, "roll under way"
                 )
             return ops.Answer(Code.ACCEPTED, op.version, "already rolling")
-        pending = self._places_in_order(op.version)
+        pending = self._places_by_order(op.version)
         # A resumed roll goes on where it was halted.
         done = tuple(
-            place for place in pending if self._in_force(place) == op.version
+            place
+            for place in pending
+            if self._applied_version(place) == op.version
         )
         state = ops.RollState(
             version=op.version,
@@ -319,17 +323,17 @@
             return ops.Answer(Code.UNKNOWN_VERSION, head, "no earlier version")
         before = self.content(record.parent)
         change = model.diff(self.content(head), before)
-        self._head = self._patched(change)
+        self._head_contents = self._apply_change(change)
         self._put_version(index, record._replace(withdrawn=op.reason or "yes"))
         number = self._add_version(
             index,
             req,
             change,
-            self._head.content_hash,
+            self._head_contents.content_hash,
             f"withdraws {op.version}: {op.reason}",
         )
         # A withdrawal does not wait for gates: every place moves at once.
-        places = self._places_in_order(number)
+        places = self._places_by_order(number)
         for place in places:
             self._set_place(index, place, number)
         state = ops.RollState(version=number, done=places, pending=())
@@ -370,23 +374,25 @@
         self.table.put(key, codec.pack(record), index)
 
     def _set_place(self, index: int, place: str, version: int) -> None:
-        if self._in_force(place) >= version:
+        if self._applied_version(place) >= version:
             return
         key = f"{config_const.PREFIX_PLACE}{place}"
         self.table.put(key, codec.pack(version), index)
 
-    def _in_force(self, place: str) -> int:
+    def _applied_version(self, place: str) -> int:
         data = self.table.get(f"{config_const.PREFIX_PLACE}{place}")
         return codec.unpack(data, int) if data else 0
 
-    def _highest_in_force(self) -> int:
+    def _max_applied_version(self) -> int:
         places = self.table.keys(config_const.PREFIX_PLACE)
         prefix = len(config_const.PREFIX_PLACE)
-        return max((self._in_force(key[prefix:]) for key in places), default=0)
+        return max(
+            (self._applied_version(key[prefix:]) for key in places), default=0
+        )
 
-    def _places_in_order(self, version: int) -> tuple[str, ...]:
+    def _places_by_order(self, version: int) -> tuple[str, ...]:
         if version == self.head:
-            bundle = self._patched({}).bundle
+            bundle = self._apply_change({}).bundle
         else:
             bundle = model.typed(self.content(version))
         places = sorted(bundle.places.values(), key=lambda p: (p.order, p.name))
--- a/jasperweir/components/registry/view.py
+++ b/jasperweir/components/registry/view_cache.py
@@ -6,7 +6,7 @@
 from jasperweir.helpers import codec
 
 
-class CurrentView:
+class ViewCache:
     """Entries that own claims; thousands of them at the target size."""
 
     def __init__(self, *, table: table_lib.Table) -> None:
@@ -14,7 +14,7 @@
         self._revision = -1
         self._view = ops.View(0, ())
 
-    def current(self) -> ops.View:
+    def get(self) -> ops.View:
         """Return the newest view in the table."""
         revision = self._table.revision_of(config_const.KEY_VIEW)
         if revision != self._revision:
--- a/script/guards.py
+++ b/script/guards.py
@@ -125,7 +125,7 @@
           "if new.content_hash != op.content_hash:", "if False:",
           "registry"),
     Guard("a withdrawn version rolls no more", C + "registry/machine.py",
-          "if record.withdrawn or op.version < self._highest_in_force():",
+          "if record.withdrawn or op.version < self._max_applied_version():",
           "if False:", "registry"),
     Guard("a node checks the content hash", C + "config/replica.py",
           "if new.content_hash != expected:", "if False:",
