--- a/features/registry.feature
+++ b/features/registry.feature
@@ -1,68 +1,68 @@
 Feature: Bundles are signed off, rolled and withdrawn, and never revert
 
-  Scenario: Of two operators with the same parent one wins and one is told
-    Given a registry with the example bundle in force
+  Scenario: Of two sign-offs on the same parent one is accepted
+    Given a registry with the example bundle applied
     When two operators sign off different changes on the same parent
-    Then one is accepted and the other is told "STALE_PARENT"
+    Then one is accepted and the other is refused with "STALE_PARENT"
 
-  Scenario: A resent order gets the first answer, also after a compaction
-    Given a registry with the example bundle in force
-    When an order is resent after other orders and a compaction
-    Then it gets the first answer again and nothing was applied twice
+  Scenario: A resent operation gets the first answer, even after a compaction
+    Given a registry with the example bundle applied
+    When an operation is resent after other operations and a compaction
+    Then it gets the first answer and is not applied again
 
-  Scenario: An operation id used for something else is refused
-    Given a registry with the example bundle in force
-    When an operation id is used again for another change
+  Scenario: A reused operation ID is refused
+    Given a registry with the example bundle applied
+    When an operation ID is reused for another change
     Then the answer is "OP_ID_REUSED"
 
   Scenario: Content that does not match its hash is refused
-    Given a registry with the example bundle in force
-    When a change is tampered with on its way
+    Given a registry with the example bundle applied
+    When a change does not match its content hash
     Then the answer is "HASH_MISMATCH"
 
-  Scenario: A wrong bundle is refused with the reason
-    Given a registry with the example bundle in force
+  Scenario: An invalid bundle is refused
+    Given a registry with the example bundle applied
     When a bundle names a place that does not exist
     Then the answer is "BAD_BUNDLE"
 
-  Scenario: A withdrawal is a new, higher version with the old content
-    Given a registry with the example bundle in force
+  Scenario: A withdrawal adds a higher version with the old content
+    Given a registry with the example bundle applied
     When a second version is rolled and then withdrawn
     Then every place is at version 3 with the content of version 1
     And the withdrawn version cannot be rolled again
 
   Scenario: A node that missed hundreds of changes receives each key once
-    Given a registry with the example bundle in force
-    When 500 changes are made while a node is away
-    Then one delta of at most 6 keys brings the node to the newest state
+    Given a registry with the example bundle applied
+    When 500 changes are made while a node is disconnected
+    Then one delta of at most 6 keys brings the node up to date
 
-  Scenario: A node keeps its version when a delta is old, foreign or damaged
-    Given a registry with the example bundle in force
-    And a node that has the newest state
+  Scenario: A node ignores deltas that are old, corrupt or of another log
+    Given a registry with the example bundle applied
+    And a node that is up to date
     Then an old delta changes nothing
     And a delta of another log changes nothing
-    And a lower pointer leaves the version in force
-    And a damaged delta leaves the version in force
+    And a lower version pointer does not change the version
+    And a corrupt delta does not change the version
 
-  Scenario: A node below its floor does not serve
-    Given a registry with the example bundle in force
-    And a node that has the newest state
-    Then the node serves only once it knows a floor that it has reached
+  Scenario: A node below its minimum revision does not serve
+    Given a registry with the example bundle applied
+    And a node that is up to date
+    Then the node serves only after it reaches its minimum revision
 
-  Scenario: A roll goes from place to place, gated on the nodes there
-    Given a registry with the example bundle in force
+  Scenario: A roll waits for the nodes of a place before it continues
+    Given a registry with the example bundle applied
     When a second version is rolled and the nodes of one place lag
-    Then the roll waits there and goes on when they have caught up
+    Then the roll waits there and continues when they have caught up
 
-  Scenario: A roll halts when the error budget burns
-    Given a registry with the example bundle in force
+  Scenario: A roll halts when the error budget burns too fast
+    Given a registry with the example bundle applied
     When a second version is rolled and the first place burns its budget
-    Then the roll is halted with the reason and no further place is reached
+    Then the roll halts with the reason and reaches no further place
 
-  Scenario: Settings report every error at once
-    Then wrong settings are reported with file, section, key, found, allowed
+  Scenario: All settings errors are reported at once
+    Then invalid settings are reported with file, section, key, found, allowed
 
-  Scenario Outline: The shipped examples are right
+  Scenario Outline: The example bundles are valid
     Then the example "<name>" is a valid bundle with 3 places
 
     Examples:
--- a/features/steps/registry_steps.py
+++ b/features/steps/registry_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the registry, its deltas and rolls."""
+"""Steps on the registry, its deltas, rolls and settings errors."""
 
 import pathlib
 
@@ -25,7 +25,7 @@
 
 
 class RegistryClient:
-    """Operators before a registry."""
+    """Applies operations of operators to a state machine."""
 
     def __init__(self):
         self.machine = machine_lib.Machine()
@@ -65,7 +65,7 @@
         return content
 
 
-@given("a registry with the example bundle in force")
+@given("a registry with the example bundle applied")
 def step_registry(context):
     context.registry = RegistryClient()
     context.content = model.read(ROOT / "examples" / "souss.ini")
@@ -84,13 +84,13 @@
     ]
 
 
-@then('one is accepted and the other is told "{name}"')
+@then('one is accepted and the other is refused with "{name}"')
 def step_one_accepted(context, name):
     codes = [Code(a.code).name for a in context.answers]
     assert codes == ["ACCEPTED", name], codes
 
 
-@when("an order is resent after other orders and a compaction")
+@when("an operation is resent after other operations and a compaction")
 def step_resend(context):
     registry = context.registry
     content = registry.content_with(address_ttl_s="11")
@@ -110,13 +110,13 @@
     context.again = registry.apply(op, "same")
 
 
-@then("it gets the first answer again and nothing was applied twice")
+@then("it gets the first answer and is not applied again")
 def step_same_answer(context):
     assert context.again == context.first
     assert context.registry.machine.head == context.head == 12
 
 
-@when("an operation id is used again for another change")
+@when("an operation ID is reused for another change")
 def step_reuse_op_id(context):
     registry = context.registry
     registry.sign_off(registry.content_with(address_ttl_s="11"), op_id="same")
@@ -125,7 +125,7 @@
     )
 
 
-@when("a change is tampered with on its way")
+@when("a change does not match its content hash")
 def step_tamper(context):
     registry = context.registry
     context.answer = registry.sign_off(
@@ -168,7 +168,7 @@
     assert answer.code == Code.WITHDRAWN
 
 
-@when("{count:d} changes are made while a node is away")
+@when("{count:d} changes are made while a node is disconnected")
 def step_missed_changes(context, count):
     context.node = make_replica(context.registry.machine)
     for i in range(count):
@@ -187,7 +187,7 @@
     return node
 
 
-@then("one delta of at most {count:d} keys brings the node to the newest state")
+@then("one delta of at most {count:d} keys brings the node up to date")
 def step_one_delta(context, count):
     machine = context.registry.machine
     delta = machine.table.delta(context.node.table.revision)
@@ -198,7 +198,7 @@
     assert context.node.version == machine.head == 501
 
 
-@given("a node that has the newest state")
+@given("a node that is up to date")
 def step_up_to_date(context):
     registry = context.registry
     context.old = registry.machine.table.delta(0)
@@ -220,7 +220,7 @@
     assert not context.node.table.apply(foreign)
 
 
-@then("a damaged delta leaves the version in force")
+@then("a corrupt delta does not change the version")
 def step_corrupt_delta(context):
     registry = context.registry
     registry.sign_off(registry.content_with(address_ttl_s="13"))
@@ -237,17 +237,17 @@
     assert context.node.version == 2 and context.node.rejected == 1
 
 
-@then("a lower pointer leaves the version in force")
+@then("a lower version pointer does not change the version")
 def step_lower_pointer(context):
     node = context.node
     pointer = f"place/{PLACES[0]}"
     node.table.put(pointer, codec.pack(1), node.table.revision + 1)
     assert not node.refresh() and node.version == 2
-    # The registry goes on from here, so its next pointer is newer.
+    # Continue from this revision, so that the next pointer is newer.
     context.registry.log_index = node.table.revision
 
 
-@then("the node serves only once it knows a floor that it has reached")
+@then("the node serves only after it reaches its minimum revision")
 def step_min_revision(context):
     node = context.node
     node.floor = None
@@ -299,7 +299,7 @@
     context.lagging = [propose_next_op(context, 0, 0.0, now) for now in times]
 
 
-@then("the roll waits there and goes on when they have caught up")
+@then("the roll waits there and continues when they have caught up")
 def step_roll_waits(context):
     assert context.lagging == [None] * 8
     newest = context.registry.machine.table.revision
@@ -316,7 +316,7 @@
     context.op = propose_next_op(context, newest, 50.0, 1.0)
 
 
-@then("the roll is halted with the reason and no further place is reached")
+@then("the roll halts with the reason and reaches no further place")
 def step_roll_halted(context):
     assert isinstance(context.op, ops.RollHalt)
     state = context.registry.machine.roll()
@@ -324,7 +324,7 @@
     assert propose_next_op(context, 10**6, 0.0, 60.0) is None
 
 
-@then("wrong settings are reported with file, section, key, found, allowed")
+@then("invalid settings are reported with file, section, key, found, allowed")
 def step_wrong_settings(context):
     path = context.folder / "entry.ini"
     path.write_text(
--- a/jasperweir/components/registry/const.py
+++ b/jasperweir/components/registry/const.py
@@ -1,6 +1,6 @@
 """Limits of the registry."""
 
-# Eight days of answers at 1,200 changes a day.
+# Answers kept for resent operations, eight days of them at 1,200 a day.
 MAX_ANSWERS = 10_000
 MAX_AUDIT_RECORDS = 1_000
 EVERYWHERE = "*"
--- a/jasperweir/components/registry/history.py
+++ b/jasperweir/components/registry/history.py
@@ -1,4 +1,4 @@
-"""Values of a bundle's keys over the versions that are still needed."""
+"""Histories of bundle keys over the versions that are still needed."""
 
 from collections.abc import Iterable
 
@@ -11,7 +11,7 @@
 
 
 def content_at(table: table_lib.Table, version: int) -> model.Content:
-    """Return the flat bundle content of a version held in a table."""
+    """Return the flat bundle content of a version."""
     content: model.Content = {}
     prefix = len(config_const.PREFIX_BUNDLE)
     for key in table.keys(config_const.PREFIX_BUNDLE):
@@ -24,7 +24,7 @@
 def change_at(
     table: table_lib.Table, keys: Iterable[str], version: int
 ) -> model.Change:
-    """Return the values that some keys have in a version."""
+    """Return the values of the given keys in a version."""
     prefix = len(config_const.PREFIX_BUNDLE)
     return {
         key[prefix:]: value_at(history_of(table.get(key)), version)
@@ -33,18 +33,18 @@
 
 
 def newest_version(table: table_lib.Table, key: str) -> int:
-    """Return the version of a key's newest value."""
+    """Return the version of a key's newest value, 0 if it has none."""
     history = history_of(table.get(key))
     return history[-1][0] if history else 0
 
 
 def history_of(data: bytes | None) -> History:
-    """Return the values of a key with their versions, oldest first."""
+    """Decode the values of a key with their versions, oldest first."""
     return codec.unpack(data, History) if data else ()
 
 
 def value_at(history: History, version: int) -> str | None:
-    """Return the value that is in force in a version."""
+    """Return the value of a key in a version, None if it has none."""
     value = None
     for number, text in history:
         if number <= version:
@@ -53,7 +53,7 @@
 
 
 def prune(history: History, floor: int) -> History:
-    """Keep the newest value at or below the floor and all above it."""
+    """Remove values that no version from ``floor`` on needs."""
     old = [item for item in history if item[0] <= floor][-1:]
     new = [item for item in history if item[0] > floor]
     return (*old, *new)
--- a/jasperweir/components/registry/machine.py
+++ b/jasperweir/components/registry/machine.py
@@ -1,4 +1,4 @@
-"""Deterministic application of committed operations."""
+"""State machine that applies committed operations."""
 
 import collections
 from typing import Any
@@ -21,7 +21,7 @@
 
 
 class RecordedAnswer(NamedTuple):
-    """An answer kept for resends, with the digest of what was asked."""
+    """Answer kept for resent operations, with the digest of the operation."""
 
     op_id: str
     digest: int
@@ -29,7 +29,7 @@
 
 
 class StateDump(NamedTuple):
-    """Whole state of the machine, for snapshots."""
+    """Full state of the machine, for snapshots."""
 
     revision: int
     items: tuple[table_lib.Item, ...]
@@ -38,11 +38,13 @@
 
 
 class Machine:
-    """Registry that every voter computes alike from the same log.
+    """Registry of bundles, configurations, claim views and appointments.
+
+    It is deterministic: all voters compute the same state from the same log.
 
     Attributes:
-        table: The configuration that nodes replicate.
-        audit: Newest operations, oldest first.
+        table: Key table that nodes replicate.
+        audit: Records of the newest operations, oldest first.
     """
 
     def __init__(self) -> None:
@@ -54,7 +56,7 @@
         self._answers: collections.OrderedDict[str, RecordedAnswer] = (
             collections.OrderedDict()
         )
-        # Content of the newest version, so that a change costs its size.
+        # Cached content of the newest version, patched by each change.
         self._head_contents: contents.Contents | None = None
 
     # Queries.
@@ -76,16 +78,16 @@
         return codec.unpack(data, ops.RollState) if data else None
 
     def view(self) -> ops.View:
-        """Return the entries that own claims."""
+        """Return the current claim view."""
         return self._view_cache.get()
 
     def appointment(self, group: str) -> ops.Appointment | None:
-        """Return a group's coordinator."""
+        """Return the appointed coordinator of a group, or None."""
         data = self.table.get(f"{config_const.PREFIX_GROUP}{group}")
         return codec.unpack(data, ops.Appointment) if data else None
 
     def declared(self) -> ops.Declared:
-        """Return the whole configuration in force, version 0 if none."""
+        """Return the current configuration, version 0 if there is none."""
         data = self.table.get(config_const.KEY_DECLARED)
         if data is None:
             return ops.Declared(version=0, data=b"")
@@ -93,11 +95,14 @@
         return found
 
     def content(self, version: int) -> model.Content:
-        """Return the flat content of a version that is still kept."""
+        """Return the flat content of a version that has not been pruned."""
         return history.content_at(self.table, version)
 
     def find_answer(self, req: ops.Request) -> ops.Answer | None:
-        """Return the answer of an operation that was applied before."""
+        """Return the recorded answer to an operation, or None.
+
+        The answer is OP_ID_REUSED if the ID belongs to another operation.
+        """
         recorded = self._answers.get(req.op_id)
         if recorded is None:
             return None
@@ -108,7 +113,7 @@
     # Application.
 
     def apply(self, index: int, data: bytes) -> ops.Answer:
-        """Apply one committed operation, at most once per operation id."""
+        """Apply a committed operation, at most once per operation ID."""
         req = codec.unpack(data, ops.Request)
         digest = hashing.checksum(req.body)
         known = self.find_answer(req)
@@ -127,11 +132,11 @@
         return answer
 
     def skip(self, index: int) -> None:
-        """Note an entry that is not an operation."""
+        """Advance the revision past an entry that is no operation."""
         self.table.advance(index)
 
     def dump(self) -> bytes:
-        """Return the whole state."""
+        """Return the encoded state."""
         revision, items = self.table.dump()
         return codec.pack(
             StateDump(
@@ -143,7 +148,7 @@
         )
 
     def load(self, data: bytes) -> None:
-        """Replace the whole state."""
+        """Replace the state by a decoded dump."""
         dump = codec.unpack(data, StateDump)
         self.table.load(dump.revision, dump.items)
         self._head_contents = None
@@ -254,7 +259,7 @@
         return number
 
     def _oldest_needed_version(self) -> int:
-        """Return the oldest version that a place or a withdrawal may need."""
+        """Return the oldest version that a node or a withdrawal may need."""
         needed = [max(self.head - 1, 0)]
         for key in self.table.keys(config_const.PREFIX_PLACE):
             needed.append(codec.unpack(self.table.get(key) or b"", int))
@@ -274,7 +279,7 @@
                 )
             return ops.Answer(Code.ACCEPTED, op.version, "already rolling")
         pending = self._places_by_order(op.version)
-        # A resumed roll goes on where it was halted.
+        # A resumed roll continues where it was halted.
         done = tuple(
             place
             for place in pending
@@ -332,7 +337,7 @@
             self._head_contents.content_hash,
             f"withdraws {op.version}: {op.reason}",
         )
-        # A withdrawal does not wait for gates: every place moves at once.
+        # A withdrawal applies to all data centres at once, without gates.
         places = self._places_by_order(number)
         for place in places:
             self._set_place(index, place, number)
@@ -363,7 +368,7 @@
     def _replace(self, index: int, op: ops.Replace) -> ops.Answer:
         held = self.declared().version
         if op.version <= held:
-            # Overtaken or sent again: what is in force stays as it is.
+            # An outdated or resent version changes nothing.
             return ops.Answer(Code.ACCEPTED, held, "not above the one held")
         record = ops.Declared(version=op.version, data=op.data)
         self.table.put(config_const.KEY_DECLARED, codec.pack(record), index)
--- a/jasperweir/components/registry/ops.py
+++ b/jasperweir/components/registry/ops.py
@@ -1,4 +1,4 @@
-"""Operations on the registry and the records that it keeps."""
+"""Operations on the registry and the records that it stores."""
 
 from typing import NamedTuple
 
@@ -6,10 +6,10 @@
 
 
 class Request(NamedTuple):
-    """One operation as it stands in the log.
+    """Operation as stored in the log.
 
     Attributes:
-        op_id: Chosen by the operator; the same id is applied once.
+        op_id: ID chosen by the operator; an ID is applied only once.
         who: Authenticated operator or control VM.
         at: Wall time of the proposal, seconds since the Unix epoch.
         body: Tagged operation, one of the types below.
@@ -22,7 +22,13 @@
 
 
 class Answer(NamedTuple):
-    """What an operation came to; resent ones get the same answer."""
+    """Result of an operation; a resent operation gets the same answer.
+
+    Attributes:
+        code: Result code.
+        version: Version, epoch or term that the code refers to.
+        detail: Explanation for the operator.
+    """
 
     code: int
     version: int
@@ -31,7 +37,14 @@
 
 @codec.message("op.sign_off")
 class SignOff(NamedTuple):
-    """Add a version that changes its parent, by compare-and-set."""
+    """Adds a version with changes to its parent, by compare-and-set.
+
+    Attributes:
+        parent: Newest version that the operator knows.
+        change: Pairs of a key and its new value, None to remove the key.
+        content_hash: Hash of the resulting content.
+        note: Free text of the operator.
+    """
 
     parent: int
     change: tuple[tuple[str, str | None], ...]
@@ -41,14 +54,14 @@
 
 @codec.message("op.roll")
 class Roll(NamedTuple):
-    """Bring a signed-off version into force, place after place."""
+    """Applies a signed-off version to one data centre after another."""
 
     version: int
 
 
 @codec.message("op.roll_step")
 class RollStep(NamedTuple):
-    """The roll reaches its next place."""
+    """Applies the version of a roll to its next data centre."""
 
     version: int
     place: str
@@ -56,7 +69,7 @@
 
 @codec.message("op.roll_halt")
 class RollHalt(NamedTuple):
-    """The roll stops where it is."""
+    """Halts a roll."""
 
     version: int
     reason: str
@@ -64,7 +77,7 @@
 
 @codec.message("op.withdraw")
 class Withdraw(NamedTuple):
-    """Supersede a version by a higher one with its parent's content."""
+    """Replaces a version by a higher one with the content of its parent."""
 
     version: int
     reason: str
@@ -72,7 +85,7 @@
 
 @codec.message("op.set_view")
 class SetView(NamedTuple):
-    """Replace the entries that own claims; ``epoch`` must be the next."""
+    """Replaces the claim view; ``epoch`` must be the next one."""
 
     epoch: int
     members: tuple[tuple[str, int, str], ...]
@@ -80,7 +93,7 @@
 
 @codec.message("op.appoint")
 class Appoint(NamedTuple):
-    """Name the agent that coordinates a group; ``term`` must be the next."""
+    """Appoints the coordinator of a group; ``term`` must be the next one."""
 
     group: str
     coordinator: str
@@ -90,11 +103,11 @@
 
 @codec.message("op.replace")
 class Replace(NamedTuple):
-    """Put a whole configuration into force unless a higher one is.
+    """Applies a configuration unless a higher version is applied.
 
     Attributes:
-        version: The operator's number; the highest one is in force.
-        data: Compressed content as the operator sent it.
+        version: Version chosen by the operator.
+        data: Compressed configuration as received.
     """
 
     version: int
@@ -102,7 +115,7 @@
 
 
 class Declared(NamedTuple):
-    """The whole configuration that is in force."""
+    """Applied configuration, compressed."""
 
     version: int
     data: bytes
@@ -121,7 +134,14 @@
 
 
 class RollState(NamedTuple):
-    """Progress of the newest roll."""
+    """Progress of the newest roll.
+
+    Attributes:
+        version: Version that is rolled.
+        done: Data centres that have it.
+        pending: Data centres that follow, in order.
+        halted: Reason of a halt, or empty.
+    """
 
     version: int
     done: tuple[str, ...]
@@ -130,7 +150,13 @@
 
 
 class View(NamedTuple):
-    """Entries that own claims, each with its incarnation and place."""
+    """Claim view: the entries that own claims.
+
+    Attributes:
+        epoch: Number of the view.
+        members: Name, incarnation and data centre of each entry.
+        previous: Members of the view before.
+    """
 
     epoch: int
     members: tuple[tuple[str, int, str], ...]
@@ -147,7 +173,7 @@
 
 
 class AuditRecord(NamedTuple):
-    """Who did what, when, and with which result."""
+    """Audit record of one operation and its result."""
 
     idx: int
     at: float
--- a/jasperweir/components/registry/view_cache.py
+++ b/jasperweir/components/registry/view_cache.py
@@ -1,4 +1,4 @@
-"""The claim view held in a table, decoded once a change."""
+"""Cache of the decoded claim view of a table."""
 
 from jasperweir.components.config import const as config_const
 from jasperweir.components.config import table as table_lib
@@ -7,7 +7,7 @@
 
 
 class ViewCache:
-    """Entries that own claims; thousands of them at the target size."""
+    """Decodes the claim view, which may be large, once per change."""
 
     def __init__(self, *, table: table_lib.Table) -> None:
         self._table = table
@@ -15,7 +15,7 @@
         self._view = ops.View(0, ())
 
     def get(self) -> ops.View:
-        """Return the newest view in the table."""
+        """Return the current claim view of the table."""
         revision = self._table.revision_of(config_const.KEY_VIEW)
         if revision != self._revision:
             self._revision = revision
