--- a/jasperweir/components/bundle/contents.py
+++ b/jasperweir/components/bundle/contents.py
@@ -19,8 +19,8 @@
 SEPARATOR = "\x1f"
 # What a new version changes against its parent; None removes a key.
 Change = Mapping[str, str | None]
-_SINGLE = ("bundle", "experts", "callers")
-_KINDS: dict[str, Any] = {
+_UNNAMED_SECTIONS = ("bundle", "experts", "callers")
+_RECORD_TYPES: dict[str, Any] = {
     "service": specs.ServiceSpec,
     "customer": specs.CustomerSpec,
     "place": specs.PlaceSpec,
@@ -46,8 +46,8 @@
     def __init__(self, *, sections: dict[str, Section], name: str) -> None:
         self._sections = sections
         self._name = name
-        self.bundle = self._typed()
-        self.content_hash = self._hash()
+        self.bundle = self._build_bundle()
+        self.content_hash = self._compute_hash()
 
     @classmethod
     def from_flat(
@@ -60,9 +60,9 @@
         """
         sections: dict[str, Section] = {}
         problems: list[str] = []
-        for section, values in _grouped(content).items():
+        for section, values in _group_by_section(content).items():
             try:
-                sections[section] = _section(name, section, values)
+                sections[section] = _make_section(name, section, values)
             except exceptions.SettingsError as exc:
                 problems += exc.problems
         if problems:
@@ -96,14 +96,14 @@
         sections = dict(self._sections)
         for section, values in touched.items():
             if values:
-                sections[section] = _section(self._name, section, values)
+                sections[section] = _make_section(self._name, section, values)
             else:
                 sections.pop(section, None)
         return Contents(sections=sections, name=self._name)
 
-    def _typed(self) -> specs.Bundle:
+    def _build_bundle(self) -> specs.Bundle:
         single = {}
-        for title in _SINGLE:
+        for title in _UNNAMED_SECTIONS:
             found = self._sections.get(title)
             if found is not None:
                 single[title] = found.record
@@ -115,7 +115,7 @@
             single[title] = settings.check_section(
                 self._name, title, {}, schema.SCHEMA
             )
-        named: dict[str, dict[str, Any]] = {kind: {} for kind in _KINDS}
+        named: dict[str, dict[str, Any]] = {kind: {} for kind in _RECORD_TYPES}
         for section, found in self._sections.items():
             kind, space, title = section.partition(" ")
             if space:
@@ -131,14 +131,14 @@
         _check_places(self._name, bundle)
         return bundle
 
-    def _hash(self) -> str:
+    def _compute_hash(self) -> str:
         whole = hashlib.sha256()
         for section in sorted(self._sections):
             whole.update(self._sections[section].digest)
         return whole.hexdigest()
 
 
-def _grouped(content: Mapping[str, str]) -> dict[str, dict[str, str]]:
+def _group_by_section(content: Mapping[str, str]) -> dict[str, dict[str, str]]:
     groups: dict[str, dict[str, str]] = {}
     for flat, value in content.items():
         section, _, key = flat.partition(SEPARATOR)
@@ -147,12 +147,12 @@
     return groups
 
 
-def _section(name: str, section: str, values: dict[str, str]) -> Section:
+def _make_section(name: str, section: str, values: dict[str, str]) -> Section:
     # The empty key only says that the section is there.
     found = {key: value for key, value in values.items() if key}
     checked = settings.check_section(name, section, found, schema.SCHEMA)
     kind, space, title = section.partition(" ")
-    record = _KINDS[kind](name=title, **checked) if space else checked
+    record = _RECORD_TYPES[kind](name=title, **checked) if space else checked
     packed = codec.pack([section, sorted(values.items())])
     return Section(values, hashlib.sha256(packed).digest(), record)
 
--- a/jasperweir/components/config/replica.py
+++ b/jasperweir/components/config/replica.py
@@ -31,11 +31,11 @@
         self.floor: int | None = None
         self.rejected = 0
         self._place = place
-        self._views = view_cache.ViewCache(table=self.table)
-        self._typed_revision = 0
+        self._view_cache = view_cache.ViewCache(table=self.table)
+        self._refreshed_revision = 0
         self._contents: contents.Contents | None = None
         # Keys that hold values of versions above the one in force here.
-        self._ahead: set[str] = set()
+        self._pending_keys: set[str] = set()
 
     @property
     def ready(self) -> bool:
@@ -46,15 +46,15 @@
 
     def refresh(self) -> bool:
         """Follow the table; tell whether the version in force changed."""
-        if self.table.revision == self._typed_revision:
+        if self.table.revision == self._refreshed_revision:
             return False
-        self._ahead.update(
+        self._pending_keys.update(
             key
-            for key in self.table.changed_since(self._typed_revision)
+            for key in self.table.changed_since(self._refreshed_revision)
             if key.startswith(const.PREFIX_BUNDLE)
         )
-        self._typed_revision = self.table.revision
-        version = self._pointer()
+        self._refreshed_revision = self.table.revision
+        version = self._target_version()
         if version <= self.version:
             return False
         record = self.table.get(f"{const.PREFIX_VERSION}{version}")
@@ -62,7 +62,7 @@
             return False
         expected = codec.unpack(record, ops.Version).content_hash
         try:
-            new = self._contents_at(version)
+            new = self._load_contents(version)
         except exceptions.SettingsError:
             self.rejected += 1
             return False
@@ -73,23 +73,23 @@
         self._contents = new
         self.bundle = new.bundle
         self.version = version
-        self._ahead = {
+        self._pending_keys = {
             key
-            for key in self._ahead
+            for key in self._pending_keys
             if history.newest_version(self.table, key) > version
         }
         return True
 
-    def _contents_at(self, version: int) -> contents.Contents:
+    def _load_contents(self, version: int) -> contents.Contents:
         if self._contents is None:
             content = history.content_at(self.table, version)
             return contents.Contents.from_flat(content)
-        change = history.change_at(self.table, self._ahead, version)
+        change = history.change_at(self.table, self._pending_keys, version)
         return self._contents.patch(change)
 
     def view(self) -> ops.View:
         """Return the entries that own claims."""
-        return self._views.get()
+        return self._view_cache.get()
 
     def appointment(self, group: str) -> ops.Appointment | None:
         """Return a group's coordinator."""
@@ -102,6 +102,6 @@
             return {}
         return {p.name: p.region for p in self.bundle.places.values()}
 
-    def _pointer(self) -> int:
+    def _target_version(self) -> int:
         data = self.table.get(f"{const.PREFIX_PLACE}{self._place}")
         return codec.unpack(data, int) if data else 0
--- a/jasperweir/components/config/table.py
+++ b/jasperweir/components/config/table.py
@@ -42,7 +42,7 @@
         self.log_id = ""
         self._items: dict[str, Item] = {}
         # Keys in order of revision; superseded places are skipped.
-        self._order: list[tuple[int, str]] = []
+        self._keys_by_revision: list[tuple[int, str]] = []
 
     def __len__(self) -> int:
         """Return the number of keys, removed ones included."""
@@ -69,10 +69,10 @@
     def put(self, key: str, value: bytes | None, revision: int) -> None:
         """Set a key at a revision that is not below any earlier one."""
         self._items[key] = Item(key=key, revision=revision, value=value)
-        self._order.append((revision, key))
+        self._keys_by_revision.append((revision, key))
         self.revision = max(self.revision, revision)
-        if len(self._order) > 2 * len(self._items) + 64:
-            self._tidy()
+        if len(self._keys_by_revision) > 2 * len(self._items) + 64:
+            self._rebuild_order()
 
     def advance(self, revision: int) -> None:
         """Note that nothing else changed up to a revision."""
@@ -82,20 +82,22 @@
         self, since: int, max_bytes: int = const.DELTA_MAX_BYTES
     ) -> Delta:
         """Return changes after a revision, cut at a revision boundary."""
-        start = bisect.bisect_right(self._order, (since, "\U0010ffff"))
+        start = bisect.bisect_right(
+            self._keys_by_revision, (since, "\U0010ffff")
+        )
         items: list[Item] = []
         size = 0
-        for revision, key in self._order[start:]:
+        for revision, key in self._keys_by_revision[start:]:
             item = self._items[key]
             if item.revision != revision:
                 continue
             if size > max_bytes and items[-1].revision < revision:
-                return self._delta(since, items[-1].revision, items)
+                return self._make_delta(since, items[-1].revision, items)
             items.append(item)
             size += len(key) + len(item.value or b"") + 12
-        return self._delta(since, self.revision, items)
+        return self._make_delta(since, self.revision, items)
 
-    def _delta(self, since: int, upto: int, items: list[Item]) -> Delta:
+    def _make_delta(self, since: int, upto: int, items: list[Item]) -> Delta:
         return Delta(
             log_id=self.log_id, since=since, upto=upto, items=tuple(items)
         )
@@ -112,19 +114,21 @@
         for item in sorted(delta.items, key=lambda i: (i.revision, i.key)):
             if item.revision > self.revision_of(item.key):
                 self._items[item.key] = item
-                self._order.append((item.revision, item.key))
-        if len(self._order) > 2 * len(self._items) + 64:
-            self._tidy()
+                self._keys_by_revision.append((item.revision, item.key))
+        if len(self._keys_by_revision) > 2 * len(self._items) + 64:
+            self._rebuild_order()
         self.revision = delta.upto
         self.log_id = delta.log_id
         return True
 
     def changed_since(self, revision: int) -> list[str]:
         """Return the keys whose newest value came after a revision."""
-        start = bisect.bisect_right(self._order, (revision, "\U0010ffff"))
+        start = bisect.bisect_right(
+            self._keys_by_revision, (revision, "\U0010ffff")
+        )
         return [
             key
-            for at, key in self._order[start:]
+            for at, key in self._keys_by_revision[start:]
             if self._items[key].revision == at
         ]
 
@@ -137,9 +141,9 @@
         """Replace the whole table."""
         self.revision = revision
         self._items = {item.key: item for item in items}
-        self._tidy()
+        self._rebuild_order()
 
-    def _tidy(self) -> None:
-        self._order = sorted(
+    def _rebuild_order(self) -> None:
+        self._keys_by_revision = sorted(
             (item.revision, item.key) for item in self._items.values()
         )
