--- a/jasperweir/components/bundle/__init__.py
+++ b/jasperweir/components/bundle/__init__.py
@@ -1,1 +1,1 @@
-"""Versioned bundles: what a site serves and how work is shared."""
+"""Versioned bundles: the services, customers and data centres of a site."""
--- a/jasperweir/components/bundle/contents.py
+++ b/jasperweir/components/bundle/contents.py
@@ -1,7 +1,7 @@
-"""One bundle version by sections: checked, hashed and typed piece by piece.
+"""Content of a bundle version, validated, hashed and parsed by section.
 
-A change touches a few sections of thousands, so a new version shares all
-others with its parent and costs only what it changes.
+A change usually affects few of thousands of sections, so a new version shares
+the unchanged sections with its parent.
 """
 
 from collections.abc import Mapping
@@ -17,7 +17,7 @@
 from jasperweir.helpers import settings
 
 SEPARATOR = "\x1f"
-# What a new version changes against its parent; None removes a key.
+# Changes of a version relative to its parent; None removes a key.
 Change = Mapping[str, str | None]
 _UNNAMED_SECTIONS = ("bundle", "experts", "callers")
 _RECORD_TYPES: dict[str, Any] = {
@@ -28,7 +28,7 @@
 
 
 class Section(NamedTuple):
-    """One section: its text, its digest and its typed record."""
+    """One section: its values as text, its digest and its typed record."""
 
     values: dict[str, str]
     digest: bytes
@@ -40,7 +40,7 @@
 
     Attributes:
         bundle: Typed view.
-        content_hash: Hash that a signed-off version carries.
+        content_hash: Hash of the content, as in the version's record.
     """
 
     def __init__(self, *, sections: dict[str, Section], name: str) -> None:
@@ -53,10 +53,10 @@
     def from_flat(
         cls, content: Mapping[str, str], *, name: str = "bundle"
     ) -> "Contents":
-        """Check flat content from scratch.
+        """Validate flat content and return it by sections.
 
         Raises:
-            SettingsError: A value or a cross reference is wrong.
+            SettingsError: A value or a cross reference is invalid.
         """
         sections: dict[str, Section] = {}
         problems: list[str] = []
@@ -81,7 +81,7 @@
         """Return the content with a change applied.
 
         Raises:
-            SettingsError: The new content would be wrong.
+            SettingsError: The new content is invalid.
         """
         touched: dict[str, dict[str, str]] = {}
         for flat, value in change.items():
@@ -142,13 +142,13 @@
     groups: dict[str, dict[str, str]] = {}
     for flat, value in content.items():
         section, _, key = flat.partition(SEPARATOR)
-        # Thousands of sections share a few key names.
+        # Intern the key names to save memory: thousands of sections share them.
         groups.setdefault(section, {})[sys.intern(key)] = value
     return groups
 
 
 def _make_section(name: str, section: str, values: dict[str, str]) -> Section:
-    # The empty key only says that the section is there.
+    # The empty key marks an empty section.
     found = {key: value for key, value in values.items() if key}
     checked = settings.check_section(name, section, found, schema.SCHEMA)
     kind, space, title = section.partition(" ")
--- a/jasperweir/components/bundle/model.py
+++ b/jasperweir/components/bundle/model.py
@@ -1,4 +1,4 @@
-"""Bundle files and their flat form."""
+"""Bundle files and their flat form, one value per section and key."""
 
 from collections.abc import Mapping
 import configparser
@@ -10,17 +10,17 @@
 from jasperweir.components.bundle import specs
 from jasperweir.helpers import settings
 
-# Flat form of a bundle: "section\x1fkey" to the text in the file.
+# Flat form of a bundle: "section\x1fkey" mapped to the text in the file.
 Content = dict[str, str]
 Change = dict[str, str | None]
 SEPARATOR = contents.SEPARATOR
 
 
 def read(path: pathlib.Path) -> Content:
-    """Read and check a bundle file.
+    """Read and validate a bundle file.
 
     Raises:
-        SettingsError: The file or its cross references are wrong.
+        SettingsError: The file or its cross references are invalid.
     """
     settings.read(path, schema.SCHEMA)
     content = from_ini(path.read_text(encoding="utf-8"), str(path))
@@ -29,20 +29,20 @@
 
 
 def from_ini(raw: str, name: str) -> Content:
-    """Flatten the text of a bundle file without checking it."""
+    """Flatten the text of a bundle file without validating it."""
     parser = configparser.ConfigParser(interpolation=None, strict=True)
     parser.optionxform = str  # type: ignore[assignment,method-assign]
     parser.read_string(raw, source=name)
     return {
         f"{section}{SEPARATOR}{key}": " ".join(value.split())
         for section in parser.sections()
-        # An empty key stands for a section without any.
+        # An empty key marks a section without keys.
         for key, value in (parser[section].items() or [("", "")])
     }
 
 
 def to_ini(content: Mapping[str, str]) -> str:
-    """Return the text of a bundle file that holds this content."""
+    """Return the text of a bundle file with this content."""
     parser = configparser.ConfigParser(interpolation=None)
     parser.optionxform = str  # type: ignore[assignment,method-assign]
     for flat in sorted(content):
@@ -57,7 +57,7 @@
 
 
 def diff(old: Mapping[str, str], new: Mapping[str, str]) -> Change:
-    """Return what turns the old content into the new one."""
+    """Return the change from the old content to the new one."""
     change: Change = {
         key: value for key, value in new.items() if old.get(key) != value
     }
@@ -69,11 +69,11 @@
     """Return the typed view of flat content.
 
     Raises:
-        SettingsError: A value or a cross reference is wrong.
+        SettingsError: A value or a cross reference is invalid.
     """
     return contents.Contents.from_flat(content, name=name).bundle
 
 
 def content_hash(content: Mapping[str, str]) -> str:
-    """Return the hash that a signed-off version carries."""
+    """Return the hash of flat content, as in a version's record."""
     return contents.Contents.from_flat(content).content_hash
--- a/jasperweir/components/bundle/schema.py
+++ b/jasperweir/components/bundle/schema.py
@@ -13,7 +13,7 @@
     "experts": settings.Section(
         required=False,
         fields={
-            # 1 weighs only step skew, 0 weighs only the cost of moves.
+            # 1 considers only step skew, 0 only the cost of moves.
             "skew_weight": settings.number(low=0, high=1, default=0.5),
             "store_moves_per_s": settings.number(
                 low=0.01, high=100000, default=16.0
--- a/jasperweir/components/bundle/specs.py
+++ b/jasperweir/components/bundle/specs.py
@@ -6,7 +6,21 @@
 
 
 class ServiceSpec(NamedTuple):
-    """One model or plain service of a bundle; times in seconds."""
+    """Model service or plain service.
+
+    Attributes:
+        name: Name of the service.
+        kind: KIND_MODEL or KIND_PLAIN.
+        adapters: Names of the adapters that its targets load.
+        places: Names of data centres; they must be in the bundle.
+        group: Name of its expert group, or empty.
+        max_in_flight: Maximum number of concurrent requests.
+        idempotent: Whether a request without a key may be repeated.
+        first_token_s: Target time to the first token in seconds.
+        token_gap_s: Target time between tokens in seconds.
+        objective: Share of requests and of token gaps that should meet these
+            targets.
+    """
 
     name: str
     kind: str
@@ -21,7 +35,7 @@
 
 
 class CustomerSpec(NamedTuple):
-    """Share and priority of one customer."""
+    """Weight and priority of a customer."""
 
     name: str
     weight: float
@@ -29,7 +43,7 @@
 
 
 class PlaceSpec(NamedTuple):
-    """One place, in the order in which a roll reaches it."""
+    """Data centre; a roll proceeds in the order of ``order``."""
 
     name: str
     region: str
@@ -37,7 +51,7 @@
 
 
 class CallerSpec(NamedTuple):
-    """What callers are told and allowed; times in seconds."""
+    """Settings for callers; times in seconds."""
 
     address_ttl_s: float
     claim_window_s: float
@@ -46,7 +60,7 @@
 
 
 class ExpertSpec(NamedTuple):
-    """How step skew is weighed against the cost of moves."""
+    """Settings for the placement of experts."""
 
     skew_weight: float
     store_moves_per_s: float
@@ -64,7 +78,11 @@
     experts: ExpertSpec
 
     def customer(self, name: str) -> CustomerSpec | None:
-        """Return a customer's share; unknown ones get the wildcard's."""
+        """Return a customer's settings.
+
+        An unknown customer gets those of the wildcard customer or defaults,
+        or None if unknown customers are refused.
+        """
         known = self.customers.get(name)
         if known is not None:
             return known
--- a/jasperweir/components/config/__init__.py
+++ b/jasperweir/components/config/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated configuration: a table of keys with the revision of each."""
+"""Replicated configuration: a key table with a revision for each key."""
--- a/jasperweir/components/config/const.py
+++ b/jasperweir/components/config/const.py
@@ -1,4 +1,4 @@
-"""Names of keys in the configuration table and limits of its deltas."""
+"""Keys of the configuration table and limits of its deltas."""
 
 KEY_HEAD = "head"
 KEY_ROLL = "roll"
--- a/jasperweir/components/config/replica.py
+++ b/jasperweir/components/config/replica.py
@@ -1,4 +1,4 @@
-"""A node's own copy of the configuration and what it means here."""
+"""A node's replica of the configuration table."""
 
 from jasperweir import exceptions
 from jasperweir.components.bundle import contents
@@ -12,16 +12,17 @@
 
 
 class Replica:
-    """Typed view of the configuration at one place.
+    """Typed view of the configuration for one data centre.
 
-    Versions at a node never go down: a pointer that is below the version in
-    force is not followed.
+    The applied bundle version never decreases: a pointer to a lower version
+    is ignored.
 
     Attributes:
-        table: Keys as replicated.
-        version: Bundle version in force here, 0 before the first.
+        table: Replicated key table.
+        version: Applied bundle version, 0 before the first.
         bundle: Typed view of that version, or None.
-        floor: Revision below which this node must not serve.
+        floor: Minimum revision for serving, None while unknown.
+        rejected: Number of versions that were invalid or corrupt.
     """
 
     def __init__(self, *, place: str) -> None:
@@ -34,18 +35,18 @@
         self._view_cache = view_cache.ViewCache(table=self.table)
         self._refreshed_revision = 0
         self._contents: contents.Contents | None = None
-        # Keys that hold values of versions above the one in force here.
+        # Keys with values of versions above the applied one.
         self._pending_keys: set[str] = set()
 
     @property
     def ready(self) -> bool:
-        """Whether the copy has reached the floor and holds a bundle."""
+        """Whether the minimum revision is reached and a bundle applied."""
         if self.floor is None or self.table.revision < self.floor:
             return False
         return self.bundle is not None
 
     def refresh(self) -> bool:
-        """Follow the table; tell whether the version in force changed."""
+        """Apply changes of the table; return whether the version changed."""
         if self.table.revision == self._refreshed_revision:
             return False
         self._pending_keys.update(
@@ -67,7 +68,7 @@
             self.rejected += 1
             return False
         if new.content_hash != expected:
-            # Damaged on the way: the old version stays in force.
+            # The data is corrupt, so the old version stays applied.
             self.rejected += 1
             return False
         self._contents = new
@@ -88,16 +89,16 @@
         return self._contents.patch(change)
 
     def view(self) -> ops.View:
-        """Return the entries that own claims."""
+        """Return the current claim view."""
         return self._view_cache.get()
 
     def appointment(self, group: str) -> ops.Appointment | None:
-        """Return a group's coordinator."""
+        """Return the appointed coordinator of a group, or None."""
         data = self.table.get(f"{const.PREFIX_GROUP}{group}")
         return codec.unpack(data, ops.Appointment) if data else None
 
     def regions(self) -> dict[str, str]:
-        """Return the region of each place."""
+        """Return the region of each data centre by name."""
         if self.bundle is None:
             return {}
         return {p.name: p.region for p in self.bundle.places.values()}
--- a/jasperweir/components/config/table.py
+++ b/jasperweir/components/config/table.py
@@ -1,4 +1,4 @@
-"""Table of keys that hands out what changed since a revision."""
+"""Replicated key table with deltas since a revision."""
 
 import bisect
 from typing import NamedTuple
@@ -19,8 +19,13 @@
 class Delta(NamedTuple):
     """Newest values of all keys changed after ``since`` up to ``upto``.
 
-    It holds no superseded value, so a node that missed hundreds of changes
-    receives each key once.
+    Each key occurs once, however many of its changes the receiver missed.
+
+    Attributes:
+        log_id: Identity of the log that the revisions belong to.
+        since: Revision that the receiver must have reached.
+        upto: Revision that the receiver reaches.
+        items: Changed keys.
     """
 
     log_id: str
@@ -30,22 +35,22 @@
 
 
 class Table:
-    """Key table; revisions come from the replicated log and only grow.
+    """Key table; revisions are indexes of the replicated log.
 
     Attributes:
         revision: Log index up to which the table is complete.
-        log_id: The log that the revisions belong to.
+        log_id: Identity of the log that the revisions belong to.
     """
 
     def __init__(self) -> None:
         self.revision = 0
         self.log_id = ""
         self._items: dict[str, Item] = {}
-        # Keys in order of revision; superseded places are skipped.
+        # Revisions and keys in order; outdated pairs are skipped by readers.
         self._keys_by_revision: list[tuple[int, str]] = []
 
     def __len__(self) -> int:
-        """Return the number of keys, removed ones included."""
+        """Return the number of keys, including removed ones."""
         return len(self._items)
 
     def get(self, key: str) -> bytes | None:
@@ -67,7 +72,7 @@
         )
 
     def put(self, key: str, value: bytes | None, revision: int) -> None:
-        """Set a key at a revision that is not below any earlier one."""
+        """Set a key; ``revision`` must not be below an earlier one."""
         self._items[key] = Item(key=key, revision=revision, value=value)
         self._keys_by_revision.append((revision, key))
         self.revision = max(self.revision, revision)
@@ -75,7 +80,7 @@
             self._rebuild_order()
 
     def advance(self, revision: int) -> None:
-        """Note that nothing else changed up to a revision."""
+        """Advance the revision without a change of keys."""
         self.revision = max(self.revision, revision)
 
     def delta(
@@ -103,9 +108,11 @@
         )
 
     def apply(self, delta: Delta) -> bool:
-        """Take in a delta; False if it is old or would leave a gap.
+        """Apply a delta.
 
-        A delta of another log is never taken in, whatever its revisions.
+        Returns:
+            False if the delta is outdated, would leave a gap or belongs to
+            another log; it is then ignored.
         """
         if self.log_id and delta.log_id != self.log_id:
             return False
