--- a/features/harness/quorum.py
+++ b/features/harness/quorum.py
@@ -186,22 +186,22 @@
                 self.add_voter(name)
 
     def add_voter(self, name: str) -> None:
-        lead = self.voters[self.wait_for_leader()]
+        leader = self.voters[self.wait_for_leader()]
         disk = self.disks[name].recovered().disk
         seat = messages.Seat(name=name, disk=disk, addr="a", voting=False)
         for _ in range(50):
-            held = lead.seats
-            idx, out = lead.change_seats(
+            held = leader.seats
+            idx, out = leader.change_seats(
                 held._replace(seats=(*held.seats, seat)), self.now
             )
             if idx:
-                self.perform(lead.name, out)
+                self.perform(leader.name, out)
                 break
             self.run(0.2)
         for _ in range(50):
             self.run(0.2)
-            found = lead.find_seat(name)
-            if found and found.voting and lead.seats_index <= lead.commit:
+            found = leader.find_seat(name)
+            if found and found.voting and leader.seats_index <= leader.commit:
                 return
         raise AssertionError(f"{name} did not become a voter")
 
--- a/features/steps/declared_steps.py
+++ b/features/steps/declared_steps.py
@@ -17,7 +17,7 @@
 def step_site(context):
     context.site = site_lib.Site()
     context.site.run(4.0)
-    context.asks = []
+    context.requests = []
 
 
 @given("a site with 3 control VMs of which only the first runs")
@@ -26,13 +26,13 @@
     context.site.kill("c2")
     context.site.kill("c3")
     context.site.run(3.0)
-    context.asks = []
+    context.requests = []
 
 
 @given("a site with committed version {version:d}")
 def step_committed(context, version):
     step_site(context)
-    context.asks = [context.site.replace("c1", version)]
+    context.requests = [context.site.replace("c1", version)]
     context.site.run(1.5)
     assert context.site.acked[0] == version
 
@@ -40,19 +40,19 @@
 @when("version {version:d} is sent to each control VM")
 def step_send_each(context, version):
     site = context.site
-    context.asks = [site.replace(name, version) for name in site.names]
+    context.requests = [site.replace(name, version) for name in site.names]
     site.run(1.5)
 
 
 @when("version {version:d} is sent to the first control VM")
 def step_send_first(context, version):
-    context.asks = [context.site.replace("c1", version)]
+    context.requests = [context.site.replace("c1", version)]
     context.site.run(1.5)
 
 
 @when('version {version:d} is sent to "{name}"')
 def step_send(context, version, name):
-    context.asks.append(context.site.replace(name, version))
+    context.requests.append(context.site.replace(name, version))
     context.site.run(1.5)
 
 
@@ -64,8 +64,8 @@
 
 @then("every operator gets the reply that version {version:d} is committed")
 def step_all_acknowledged(context, version):
-    for ask in context.asks:
-        got = context.site.results.get(ask)
+    for request in context.requests:
+        got = context.site.results.get(request)
         assert isinstance(got, node_lib.Replaced), got
         assert got.version == version, got
 
@@ -78,8 +78,8 @@
 
 @then("every operator is told to retry")
 def step_all_unconfirmed(context):
-    for ask in context.asks:
-        got = context.site.results.get(ask)
+    for request in context.requests:
+        got = context.site.results.get(request)
         assert isinstance(got, discovery_server.Unconfirmed), got
 
 
@@ -92,9 +92,9 @@
 
 def read_from_all(site):
     """Read the configuration at every control VM and return the results."""
-    asks = [site.describe(name) for name in site.nodes]
+    requests = [site.describe(name) for name in site.nodes]
     site.run(1.0)
-    answers = [site.results.get(ask) for ask in asks]
+    answers = [site.results.get(request) for request in requests]
     for answer in answers:
         assert isinstance(answer, node_lib.Described), answer
     return [answer.declared for answer in answers]
@@ -346,19 +346,19 @@
                 site.frozen.add(rng.choice(site.names))
         site.run(rng.uniform(0.05, 1.5))
     site.settle()
-    floor = site.acked[0]
-    asks = [site.describe(name) for name in site.names]
+    min_version = site.acked[0]
+    requests = [site.describe(name) for name in site.names]
     site.run(1.5)
-    for ask in asks:
-        got = site.results.get(ask)
+    for request in requests:
+        got = site.results.get(request)
         if all(n.machine.declared().version == 0 for n in site.nodes.values()):
             # No version was committed, so there is nothing to read.
-            assert floor == 0 and isinstance(
+            assert min_version == 0 and isinstance(
                 got, discovery_server.Unconfirmed
             ), got
             return
         assert isinstance(got, node_lib.Described), f"no read: {got}"
-        assert got.declared.version >= floor
+        assert got.declared.version >= min_version
     newest = got.declared.version
     behind = [n for n in site.followers if site.versions[n] != newest]
     assert not behind, f"{behind} behind {newest}"
@@ -368,7 +368,7 @@
 def step_six(context):
     context.site = site_lib.Site(controls=6, wanted=5)
     context.site.run(4.0)
-    context.asks = []
+    context.requests = []
 
 
 @given("a site with 6 control VMs of which only three run")
@@ -377,7 +377,7 @@
     for name in ("c4", "c5", "c6"):
         context.site.kill(name)
     context.site.run(1.0)
-    context.asks = []
+    context.requests = []
 
 
 @when("all control VMs lose power and the leader and another one their disks")
@@ -402,21 +402,21 @@
 @then("the three accept version {version:d} 5 s later")
 def step_taken_later(context, version):
     context.site.run(5.0)
-    ask = context.site.replace("c1", version)
+    request = context.site.replace("c1", version)
     context.site.run(1.5)
-    assert isinstance(context.site.results.get(ask), node_lib.Replaced)
+    assert isinstance(context.site.results.get(request), node_lib.Replaced)
 
 
 @given('a site of 6 control VMs where "{names}" have no disk')
 def step_diskless(context, names):
     context.site = site_lib.Site(controls=6, diskless=names.split(","))
     context.site.run(5.0)
-    context.asks = []
+    context.requests = []
 
 
 @given("version {version:d} is committed")
 def step_commit_version(context, version):
-    context.asks = [context.site.replace("c1", version)]
+    context.requests = [context.site.replace("c1", version)]
     context.site.run(1.5)
     assert context.site.acked[0] == version
 
--- a/features/steps/lead_steps.py
+++ b/features/steps/lead_steps.py
@@ -12,27 +12,27 @@
 def restart_all_voters(count, seed, *, wiped):
     """Return the seconds from the last restart to the election of a leader."""
     rng = random.Random(seed)
-    net = quorum.Cluster([f"v{number}" for number in range(count)], seed)
-    net.bootstrap("v0")
-    led = net.wait_for_leader()
-    names = list(net.voters)
+    cluster = quorum.Cluster([f"v{number}" for number in range(count)], seed)
+    cluster.bootstrap("v0")
+    leader = cluster.wait_for_leader()
+    names = list(cluster.voters)
     for name in names:
-        net.kill(name)
-    net.queue.clear()
-    net.now += 1.2
+        cluster.kill(name)
+    cluster.queue.clear()
+    cluster.now += 1.2
     if wiped:
-        net.disks[led].wipe()
+        cluster.disks[leader].wipe()
     starts = [(rng.choice((0.0, 0.05, 0.1, 0.15)), name) for name in names]
-    began = net.now
+    began = cluster.now
     for after_s, name in sorted(starts):
-        while net.now < began + after_s:
-            net.run(quorum.STEP)
-        net.start(name)
-    started = net.now
-    while not net.leader():
-        net.run(quorum.STEP)
-        assert net.now - started < 10, "no leader within 10 s"
-    return net.now - started
+        while cluster.now < began + after_s:
+            cluster.run(quorum.STEP)
+        cluster.start(name)
+    started = cluster.now
+    while not cluster.leader():
+        cluster.run(quorum.STEP)
+        assert cluster.now - started < 10, "no leader within 10 s"
+    return cluster.now - started
 
 
 @given(
@@ -69,17 +69,17 @@
 
 def restart_voter_beside_partition(seed):
     """Restart the only voter that hears the leader ten times in a row."""
-    net = quorum.Cluster(["v0", "v1", "v2"], seed)
-    net.bootstrap("v0")
-    led = net.wait_for_leader()
-    deaf, hearing = (name for name in net.voters if name != led)
-    net.cut_pair(led, deaf)
-    net.run(2.0)
+    cluster = quorum.Cluster(["v0", "v1", "v2"], seed)
+    cluster.bootstrap("v0")
+    leader = cluster.wait_for_leader()
+    deaf, hearing = (name for name in cluster.voters if name != leader)
+    cluster.cut_pair(leader, deaf)
+    cluster.run(2.0)
     for _ in range(10):
-        net.kill(hearing)
-        net.start(hearing)
+        cluster.kill(hearing)
+        cluster.start(hearing)
         # The harness checks at each step that only one lease is held.
-        net.run(quorum.STEP * random.Random(seed).choice((2, 5, 9)))
+        cluster.run(quorum.STEP * random.Random(seed).choice((2, 5, 9)))
 
 
 @given(
--- a/features/steps/quorum_steps.py
+++ b/features/steps/quorum_steps.py
@@ -17,9 +17,9 @@
 
 @given("{count:d} voters")
 def step_voters(context, count):
-    context.net = quorum.Cluster(NAMES[:count])
-    context.net.bootstrap("a")
-    context.net.wait_for_leader()
+    context.cluster = quorum.Cluster(NAMES[:count])
+    context.cluster.bootstrap("a")
+    context.cluster.wait_for_leader()
     context.old = ""
     context.killed = ""
 
@@ -27,184 +27,191 @@
 @when('"{one}" and "{two}" are proposed')
 def step_propose_two(context, one, two):
     for text in (one, two):
-        assert context.net.wait_for_leader()
-        assert context.net.propose(text.encode())
-        context.net.run(0.5)
+        assert context.cluster.wait_for_leader()
+        assert context.cluster.propose(text.encode())
+        context.cluster.run(0.5)
 
 
 @when("the leader is cut off")
 def step_cut_leader(context):
-    context.old = context.net.wait_for_leader()
-    context.net.cut_off(context.old)
+    context.old = context.cluster.wait_for_leader()
+    context.cluster.cut_off(context.old)
 
 
 @when("the leader is cut off from one follower")
 def step_cut_leader_from_follower(context):
-    lead = context.net.wait_for_leader()
-    out = sorted(set(context.net.voters) - {lead})[0]
+    leader = context.cluster.wait_for_leader()
+    out = sorted(set(context.cluster.voters) - {leader})[0]
     context.cut_one = out
-    context.net.cut |= {(lead, out), (out, lead)}
+    context.cluster.cut |= {(leader, out), (out, leader)}
 
 
 @when("the other follower restarts with a damaged tail")
 def step_restart_damaged_tail(context):
-    net = context.net
-    lead = net.wait_for_leader()
-    name = next(n for n in net.voters if n not in (lead, context.cut_one))
-    disk = net.disks[name]
+    cluster = context.cluster
+    leader = cluster.wait_for_leader()
+    name = next(n for n in cluster.voters if n not in (leader, context.cut_one))
+    disk = cluster.disks[name]
     del disk.entries[max(disk.entries)]
     disk.tail_uncertain = True
-    net.kill(name)
-    net.cut_off(lead)
-    net.start(name)
+    cluster.kill(name)
+    cluster.cut_off(leader)
+    cluster.start(name)
 
 
 @when("all partitions heal")
 def step_heal(context):
-    context.net.cut.clear()
+    context.cluster.cut.clear()
 
 
 @when("{seconds:d} seconds pass")
 def step_pass(context, seconds):
-    context.net.run(seconds)
+    context.cluster.run(seconds)
 
 
 @when("the leader is frozen")
 def step_freeze_leader(context):
-    context.old = context.net.wait_for_leader()
-    context.net.frozen.add(context.old)
+    context.old = context.cluster.wait_for_leader()
+    context.cluster.frozen.add(context.old)
 
 
 @when("{seconds:d} seconds pass in long steps")
 def step_jump_clock(context, seconds):
-    context.net.run(10)
-    context.net.now += seconds
+    context.cluster.run(10)
+    context.cluster.now += seconds
 
 
 @when("the frozen voter thaws")
 def step_thaw(context):
-    context.net.frozen.discard(context.old)
+    context.cluster.frozen.discard(context.old)
 
 
 @when("a follower loses its disk")
 def step_wipe_follower(context):
-    net = context.net
-    lead = net.wait_for_leader()
-    name = sorted(set(net.voters) - {lead})[0]
-    net.kill(name)
-    net.disks[name].wipe()
-    net.start(name)
+    cluster = context.cluster
+    leader = cluster.wait_for_leader()
+    name = sorted(set(cluster.voters) - {leader})[0]
+    cluster.kill(name)
+    cluster.disks[name].wipe()
+    cluster.start(name)
     context.lost = name
 
 
 @when("all voters lose their disks")
 def step_wipe_all(context):
-    for name in list(context.net.voters):
-        context.net.kill(name)
-        context.net.disks[name].wipe()
-        context.net.start(name)
+    for name in list(context.cluster.voters):
+        context.cluster.kill(name)
+        context.cluster.disks[name].wipe()
+        context.cluster.start(name)
 
 
 @when("the lost voter gets a new seat")
 def step_replace_seat(context):
-    net = context.net
-    lead = net.voters[net.wait_for_leader()]
-    held = lead.seats
+    cluster = context.cluster
+    leader = cluster.voters[cluster.wait_for_leader()]
+    held = leader.seats
     kept = tuple(s for s in held.seats if s.name != context.lost)
-    idx, out = lead.change_seats(held._replace(seats=kept), net.now)
+    idx, out = leader.change_seats(held._replace(seats=kept), cluster.now)
     assert idx
-    net.perform(lead.name, out)
-    net.run(1)
-    net.add_voter(context.lost)
+    cluster.perform(leader.name, out)
+    cluster.run(1)
+    cluster.add_voter(context.lost)
 
 
 @when("the leader is killed")
 def step_kill_leader(context):
-    context.killed = context.net.leader() or next(
-        n for n, v in context.net.voters.items() if v.role == voter_lib.LEADER
+    context.killed = context.cluster.leader() or next(
+        n
+        for n, v in context.cluster.voters.items()
+        if v.role == voter_lib.LEADER
     )
-    context.net.kill(context.killed)
+    context.cluster.kill(context.killed)
 
 
 @when("a follower is killed")
 def step_kill_follower(context):
-    net = context.net
-    lead = net.wait_for_leader()
-    context.killed = sorted(set(net.voters) - {lead})[0]
-    net.kill(context.killed)
+    cluster = context.cluster
+    leader = cluster.wait_for_leader()
+    context.killed = sorted(set(cluster.voters) - {leader})[0]
+    cluster.kill(context.killed)
 
 
 @when("the killed voter restarts")
 def step_restart(context):
-    context.net.start(context.killed)
+    context.cluster.start(context.killed)
 
 
 @when("the leader transfers its leadership")
 def step_transfer(context):
-    net = context.net
-    net.run(1)
-    context.old = net.wait_for_leader()
-    net.perform(
-        context.old, net.voters[context.old].transfer_leadership(net.now)
+    cluster = context.cluster
+    cluster.run(1)
+    context.old = cluster.wait_for_leader()
+    cluster.perform(
+        context.old,
+        cluster.voters[context.old].transfer_leadership(cluster.now),
     )
 
 
 @when("{count:d} entries are proposed and compacted")
 def step_compact(context, count):
-    net = context.net
+    cluster = context.cluster
     for i in range(count):
-        assert net.propose(b"%d" % i), i
-        net.run(0.05)
-    for name, voter in net.voters.items():
-        net.perform(name, voter.compact(voter.commit, b"state" * 100_000))
+        assert cluster.propose(b"%d" % i), i
+        cluster.run(0.05)
+    for name, voter in cluster.voters.items():
+        cluster.perform(name, voter.compact(voter.commit, b"state" * 100_000))
 
 
 @then("another voter leads")
 def step_other_leads(context):
-    assert context.net.leader() not in ("", context.old)
+    assert context.cluster.leader() not in ("", context.old)
 
 
 @then("the old leader accepts no proposal")
 @then("the thawed voter accepts no proposal")
 def step_proposal_refused(context):
-    assert context.net.propose(b"x", context.old) == 0
+    assert context.cluster.propose(b"x", context.old) == 0
 
 
 @then("there is no leader")
 def step_no_leader(context):
-    assert context.net.leader() == ""
+    assert context.cluster.leader() == ""
 
 
 @then('every voter has applied "{one}" and "{two}"')
 def step_applied(context, one, two):
-    context.net.run(2)
-    for name in context.net.voters:
-        data = [e.data for e in context.net.applied[name]]
+    context.cluster.run(2)
+    for name in context.cluster.voters:
+        data = [e.data for e in context.cluster.applied[name]]
         assert one.encode() in data and two.encode() in data, (name, data)
 
 
 @then("every voter is at the same commit")
 def step_same_commit(context):
-    commits = {n: v.commit for n, v in context.net.voters.items()}
+    commits = {n: v.commit for n, v in context.cluster.voters.items()}
     assert len(commits) == 3 and len(set(commits.values())) == 1, commits
 
 
 # Functions that inject a fault into a voter, for "kill" after some actions.
 FAULTS = {
-    "kill": lambda net, name, action: net.actions_until_crash.update(
+    "kill": lambda cluster, name, action: cluster.actions_until_crash.update(
         {name: action}
     ),
-    "kill and disk loss": lambda net, name, action: (
-        net.actions_until_crash.update({name: action})
+    "kill and disk loss": lambda cluster, name, action: (
+        cluster.actions_until_crash.update({name: action})
     ),
-    "freeze": lambda net, name, action: net.frozen.add(name),
-    "cut": lambda net, name, action: net.cut_off(name),
-    "one-way cut": lambda net, name, action: net.cut.update(
-        {(name, other) for other in net.disks if other != name}
+    "freeze": lambda cluster, name, action: cluster.frozen.add(name),
+    "cut": lambda cluster, name, action: cluster.cut_off(name),
+    "one-way cut": lambda cluster, name, action: cluster.cut.update(
+        {(name, other) for other in cluster.disks if other != name}
     ),
-    "duplicates": lambda net, name, action: setattr(net, "duplicate_rate", 0.5),
-    "reordering": lambda net, name, action: setattr(net, "shuffle", True),
-    "loss": lambda net, name, action: setattr(net, "drop_rate", 0.3),
+    "duplicates": lambda cluster, name, action: setattr(
+        cluster, "duplicate_rate", 0.5
+    ),
+    "reordering": lambda cluster, name, action: setattr(
+        cluster, "shuffle", True
+    ),
+    "loss": lambda cluster, name, action: setattr(cluster, "drop_rate", 0.3),
 }
 
 
@@ -214,42 +221,46 @@
     Returns:
         Entries that were lost or applied twice.
     """
-    net = quorum.Cluster(NAMES[:3], seed=action)
-    net.bootstrap("a")
-    lead = net.wait_for_leader()
+    cluster = quorum.Cluster(NAMES[:3], seed=action)
+    cluster.bootstrap("a")
+    leader = cluster.wait_for_leader()
     accepted = []
-    if net.propose(b"before"):
-        net.run(1)
+    if cluster.propose(b"before"):
+        cluster.run(1)
         accepted.append(b"before")
     name = (
-        lead
+        leader
         if voter_number == 0
-        else sorted(set(net.voters) - {lead})[voter_number - 1]
+        else sorted(set(cluster.voters) - {leader})[voter_number - 1]
     )
-    FAULTS[fault](net, name, action)
-    idx = net.propose(b"during")
-    net.run(1.5)
+    FAULTS[fault](cluster, name, action)
+    idx = cluster.propose(b"during")
+    cluster.run(1.5)
     if (
         idx
-        and net.committed.get(idx, None)
-        and (net.committed[idx].data == b"during")
+        and cluster.committed.get(idx, None)
+        and (cluster.committed[idx].data == b"during")
     ):
         accepted.append(b"during")
-    net.run(6)
-    net.actions_until_crash.clear()
-    net.frozen.clear()
-    net.cut.clear()
-    net.drop_rate = 0
-    if name not in net.voters:
+    cluster.run(6)
+    cluster.actions_until_crash.clear()
+    cluster.frozen.clear()
+    cluster.cut.clear()
+    cluster.drop_rate = 0
+    if name not in cluster.voters:
         if fault == "kill and disk loss":
-            net.disks[name].wipe()
-        net.start(name)
-    net.wait_for_leader()
-    assert net.propose(b"after")
-    net.run(2)
-    lost = [d for d in [*accepted, b"after"] if d not in net.committed_ops()]
+            cluster.disks[name].wipe()
+        cluster.start(name)
+    cluster.wait_for_leader()
+    assert cluster.propose(b"after")
+    cluster.run(2)
+    lost = [
+        d for d in [*accepted, b"after"] if d not in cluster.committed_ops()
+    ]
     duplicated = [
-        d for d in net.committed_ops() if net.committed_ops().count(d) > 1
+        d
+        for d in cluster.committed_ops()
+        if cluster.committed_ops().count(d) > 1
     ]
     return lost + duplicated
 
@@ -269,49 +280,59 @@
 
 EVENTS = (
     "propose", "propose", "propose", "run", "run", "kill", "start", "wipe",
-    "cut", "heal", "freeze", "thaw", "drop", "clean", "compact", "hand over",
+    "cut", "heal", "freeze", "thaw", "drop", "clean", "compact", "transfer",
 )  # fmt: skip
 
 
 def run_schedule(seed, events):
     """Run one schedule of events; the harness checks after each action."""
-    net = quorum.Cluster(NAMES[:5], seed=seed)
-    net.bootstrap("a")
+    cluster = quorum.Cluster(NAMES[:5], seed=seed)
+    cluster.bootstrap("a")
     rng = random.Random(seed)
     wiped = set()
     for event in events:
         name = rng.choice(NAMES[:5])
-        alive = name in net.voters
+        alive = name in cluster.voters
         match event:
             case "propose":
-                net.propose(b"%d" % net.action_count)
+                cluster.propose(b"%d" % cluster.action_count)
             case "run":
-                net.run(rng.uniform(0.1, 3.0))
+                cluster.run(rng.uniform(0.1, 3.0))
             case "kill":
-                net.kill(name)
+                cluster.kill(name)
             case "start" if not alive:
-                net.start(name)
+                cluster.start(name)
             case "wipe" if not alive and len(wiped | {name}) <= 2:
                 wiped.add(name)
-                net.disks[name].wipe()
+                cluster.disks[name].wipe()
             case "cut":
-                net.cut_off(name)
+                cluster.cut_off(name)
             case "heal":
-                net.cut.clear()
+                cluster.cut.clear()
             case "freeze" if alive:
-                net.frozen.add(name)
+                cluster.frozen.add(name)
             case "thaw":
-                net.frozen.clear()
+                cluster.frozen.clear()
             case "drop":
-                net.drop_rate, net.duplicate_rate, net.shuffle = 0.2, 0.2, True
+                cluster.drop_rate, cluster.duplicate_rate, cluster.shuffle = (
+                    0.2,
+                    0.2,
+                    True,
+                )
             case "clean":
-                net.drop_rate, net.duplicate_rate, net.shuffle = 0.0, 0.0, False
+                cluster.drop_rate, cluster.duplicate_rate, cluster.shuffle = (
+                    0.0,
+                    0.0,
+                    False,
+                )
             case "compact" if alive:
-                voter = net.voters[name]
-                net.perform(name, voter.compact(voter.commit, b"s"))
-            case "hand over" if alive:
-                net.perform(name, net.voters[name].transfer_leadership(net.now))
-    return net.action_count
+                voter = cluster.voters[name]
+                cluster.perform(name, voter.compact(voter.commit, b"s"))
+            case "transfer" if alive:
+                cluster.perform(
+                    name, cluster.voters[name].transfer_leadership(cluster.now)
+                )
+    return cluster.action_count
 
 
 @then("{count:d} random schedules of {length:d} events keep every invariant")
@@ -359,10 +380,10 @@
 
 def check_live_leader_not_deposed():
     voter = voter_without_peers()
-    beat = messages.Append(1, 1, 1, (), 1, 1, 1)
-    voter.receive("b", beat, 0.0)
-    ask = messages.Vote(9, 99, 9, "c-disk")
-    assert voter.receive("c", ask, 0.5) == []
+    heartbeat = messages.Append(1, 1, 1, (), 1, 1, 1)
+    voter.receive("b", heartbeat, 0.0)
+    request = messages.Vote(9, 99, 9, "c-disk")
+    assert voter.receive("c", request, 0.5) == []
     assert voter.term == 1
 
 
@@ -393,12 +414,12 @@
 
 
 def check_transfer_ends_lease():
-    net = quorum.Cluster(NAMES[:3])
-    net.bootstrap("a")
-    net.run(1)
-    lead = net.voters[net.wait_for_leader()]
-    assert lead.transfer_leadership(net.now)
-    assert not lead.has_lease(net.now)
+    cluster = quorum.Cluster(NAMES[:3])
+    cluster.bootstrap("a")
+    cluster.run(1)
+    leader = cluster.voters[cluster.wait_for_leader()]
+    assert leader.transfer_leadership(cluster.now)
+    assert not leader.has_lease(cluster.now)
 
 
 SAFETY_RULES = {
--- a/jasperweir/components/bundle/contents.py
+++ b/jasperweir/components/bundle/contents.py
@@ -73,8 +73,8 @@
         """Return the flat content."""
         return {
             f"{section}{SEPARATOR}{key}": value
-            for section, found in self._sections.items()
-            for key, value in found.values.items()
+            for section, parsed in self._sections.items()
+            for key, value in parsed.values.items()
         }
 
     def patch(self, change: Change) -> "Contents":
@@ -104,9 +104,9 @@
     def _build_bundle(self) -> specs.Bundle:
         single = {}
         for title in _UNNAMED_SECTIONS:
-            found = self._sections.get(title)
-            if found is not None:
-                single[title] = found.record
+            parsed = self._sections.get(title)
+            if parsed is not None:
+                single[title] = parsed.record
                 continue
             spec = schema.SCHEMA[title]
             if spec.required:
@@ -116,10 +116,10 @@
                 self._name, title, {}, schema.SCHEMA
             )
         named: dict[str, dict[str, Any]] = {kind: {} for kind in _RECORD_TYPES}
-        for section, found in self._sections.items():
+        for section, parsed in self._sections.items():
             kind, space, title = section.partition(" ")
             if space:
-                named[kind][title] = found.record
+                named[kind][title] = parsed.record
         bundle = specs.Bundle(
             name=single["bundle"]["name"],
             services=named["service"],
@@ -149,8 +149,8 @@
 
 def _make_section(name: str, section: str, values: dict[str, str]) -> Section:
     # The empty key marks an empty section.
-    found = {key: value for key, value in values.items() if key}
-    checked = settings.check_section(name, section, found, schema.SCHEMA)
+    named_values = {key: value for key, value in values.items() if key}
+    checked = settings.check_section(name, section, named_values, schema.SCHEMA)
     kind, space, title = section.partition(" ")
     record = _RECORD_TYPES[kind](name=title, **checked) if space else checked
     packed = codec.pack([section, sorted(values.items())])
--- a/jasperweir/components/configctl/discovery_server.py
+++ b/jasperweir/components/configctl/discovery_server.py
@@ -132,8 +132,8 @@
     ) -> StartedRequest:
         """Remove a target; ends in Acknowledged or Unconfirmed."""
         digest = self.directory.digest
-        gone = self.directory.leave(target_id, now, born)
-        return self._broadcast_target(gone, digest, now, wait=True)
+        target = self.directory.leave(target_id, now, born)
+        return self._broadcast_target(target, digest, now, wait=True)
 
     # Inputs.
 
--- a/jasperweir/components/quorum/replicator.py
+++ b/jasperweir/components/quorum/replicator.py
@@ -50,8 +50,8 @@
 
     def has_lost_quorum(self, now: float) -> bool:
         """Return whether a majority was silent for an election timeout."""
-        heard = max(self.majority_acked_at(now), self.leader_since)
-        return now >= heard + const.ELECTION_MIN_SECONDS
+        acked_at = max(self.majority_acked_at(now), self.leader_since)
+        return now >= acked_at + const.ELECTION_MIN_SECONDS
 
     def majority_match_index(self, self_votes: bool) -> int:
         """Return the highest index that a majority has synced.
--- a/jasperweir/components/quorum/state.py
+++ b/jasperweir/components/quorum/state.py
@@ -109,7 +109,7 @@
                 self.seats_index = entry.idx
 
     def seats_at(self, index: int) -> messages.Seats:
-        """Return the seats that were in force at an index."""
+        """Return the seats that applied at an index."""
         seats = self.snapshot.seats
         for entry in self.log.entries_between(self.log.base_index + 1, index):
             if entry.kind == const.KIND_SEATS:
--- a/jasperweir/components/quorum/voter.py
+++ b/jasperweir/components/quorum/voter.py
@@ -75,8 +75,8 @@
             return False
         if self._is_transferring:
             return False
-        heard = self._replicator.majority_acked_at(now)
-        return now < heard + const.LEASE_SECONDS
+        acked_at = self._replicator.majority_acked_at(now)
+        return now < acked_at + const.LEASE_SECONDS
 
     def read_index(self, now: float) -> int | None:
         """Return an index that covers all committed entries, or None.
--- a/jasperweir/components/registry/history.py
+++ b/jasperweir/components/registry/history.py
@@ -52,8 +52,8 @@
     return value
 
 
-def prune(history: History, floor: int) -> History:
-    """Remove values that no version from ``floor`` on needs."""
-    old = [item for item in history if item[0] <= floor][-1:]
-    new = [item for item in history if item[0] > floor]
+def prune(history: History, oldest_version: int) -> History:
+    """Remove values that no version from ``oldest_version`` on needs."""
+    old = [item for item in history if item[0] <= oldest_version][-1:]
+    new = [item for item in history if item[0] > oldest_version]
     return (*old, *new)
--- a/jasperweir/components/registry/machine.py
+++ b/jasperweir/components/registry/machine.py
@@ -238,11 +238,11 @@
         note: str,
     ) -> int:
         number = self.head + 1
-        floor = self._oldest_needed_version()
+        oldest_version = self._oldest_needed_version()
         for key, value in change.items():
             name = f"{config_const.PREFIX_BUNDLE}{key}"
             kept = history.prune(
-                history.history_of(self.table.get(name)), floor
+                history.history_of(self.table.get(name)), oldest_version
             )
             kept = (*kept, (number, value))
             self.table.put(name, codec.pack(kept), index)
--- a/script/guards.py
+++ b/script/guards.py
@@ -37,7 +37,7 @@
     Guard("one vote a term", C + "quorum/voter.py",
           'and self.voted_for in ("", src)', "and True", "quorum"),
     Guard("check-quorum", C + "quorum/voter.py",
-          "return now < heard + const.LEASE_SECONDS", "return True",
+          "return now < acked_at + const.LEASE_SECONDS", "return True",
           "quorum"),
     Guard("own term before commit", C + "quorum/voter.py",
           "if index > self.commit and self.log.term_at(index) == self.term:",
