--- a/features/steps/declared_steps.py
+++ b/features/steps/declared_steps.py
@@ -1,4 +1,4 @@
-"""Steps on whole configurations, seats and the directory."""
+"""Steps on configurations, seats and the directory of a site."""
 
 import random
 
@@ -7,9 +7,9 @@
 from behave import when
 
 from features.harness import site as site_lib
+from jasperweir.components.configctl import discovery_server
 from jasperweir.components.configctl import messages as config_messages
 from jasperweir.components.configctl import node as node_lib
-from jasperweir.components.configctl import roster as roster_lib
 from jasperweir.components.quorum import progress
 
 
@@ -17,7 +17,7 @@
 def step_site(context):
     context.site = site_lib.Site()
     context.site.run(4.0)
-    context.asks = []
+    context.requests = []
 
 
 @given("a site with 3 control VMs of which only the first runs")
@@ -26,13 +26,13 @@
     context.site.kill("c2")
     context.site.kill("c3")
     context.site.run(3.0)
-    context.asks = []
+    context.requests = []
 
 
-@given("a calm site with version {version:d}")
-def step_calm(context, version):
+@given("a site with committed version {version:d}")
+def step_committed(context, version):
     step_site(context)
-    context.asks = [context.site.replace("c1", version)]
+    context.requests = [context.site.replace("c1", version)]
     context.site.run(1.5)
     assert context.site.acked[0] == version
 
@@ -40,19 +40,19 @@
 @when("version {version:d} is sent to each control VM")
 def step_send_each(context, version):
     site = context.site
-    context.asks = [site.replace(name, version) for name in site.names]
+    context.requests = [site.replace(name, version) for name in site.names]
     site.run(1.5)
 
 
 @when("version {version:d} is sent to the first control VM")
 def step_send_first(context, version):
-    context.asks = [context.site.replace("c1", version)]
+    context.requests = [context.site.replace("c1", version)]
     context.site.run(1.5)
 
 
 @when('version {version:d} is sent to "{name}"')
 def step_send(context, version, name):
-    context.asks.append(context.site.replace(name, version))
+    context.requests.append(context.site.replace(name, version))
     context.site.run(1.5)
 
 
@@ -62,39 +62,39 @@
     context.site.run(1.5)
 
 
-@then("every operator is told that version {version:d} is committed")
-def step_told(context, version):
-    for ask in context.asks:
-        got = context.site.results.get(ask)
+@then("every operator gets the reply that version {version:d} is committed")
+def step_all_acknowledged(context, version):
+    for request in context.requests:
+        got = context.site.results.get(request)
         assert isinstance(got, node_lib.Replaced), got
         assert got.version == version, got
 
 
-@then("every entry acts on version {version:d}")
-def step_acts(context, version):
+@then("every entry applies version {version:d}")
+def step_entries_apply(context, version):
     site = context.site
     assert all(site.versions[n] == version for n in site.followers)
 
 
-@then("no operator is told anything but to ask again")
-def step_ask_again(context):
-    for ask in context.asks:
-        got = context.site.results.get(ask)
-        assert isinstance(got, roster_lib.Unconfirmed), got
+@then("every operator is told to retry")
+def step_all_unconfirmed(context):
+    for request in context.requests:
+        got = context.site.results.get(request)
+        assert isinstance(got, discovery_server.Unconfirmed), got
 
 
 @then("a read at every control VM returns the first content of version 9")
 def step_read_all(context):
     site = context.site
-    for declared in read_everywhere(site):
+    for declared in read_from_all(site):
         assert declared.data == site.contents[9]
 
 
-def read_everywhere(site):
-    """Read the configuration at every control VM; return what they tell."""
-    asks = [site.describe(name) for name in site.nodes]
+def read_from_all(site):
+    """Read the configuration at every control VM and return the results."""
+    requests = [site.describe(name) for name in site.nodes]
     site.run(1.0)
-    answers = [site.results.get(ask) for ask in asks]
+    answers = [site.results.get(request) for request in requests]
     for answer in answers:
         assert isinstance(answer, node_lib.Described), answer
     return [answer.declared for answer in answers]
@@ -117,19 +117,19 @@
     context.site.run(1.5)
 
 
-@then("the reader is told to ask again")
-def step_reader(context):
+@then("the reader is told to retry")
+def step_read_unconfirmed(context):
     got = context.site.results.get(context.read)
-    assert isinstance(got, roster_lib.Unconfirmed), got
+    assert isinstance(got, discovery_server.Unconfirmed), got
 
 
-@when("the leading control VM freezes")
+@when("the leader freezes")
 def step_freeze(context):
     context.old = context.site.leader()
     context.site.frozen.add(context.old)
 
 
-@when("version {version:d} is committed by the others")
+@when("another leader commits version {version:d}")
 def step_commit_others(context, version):
     site = context.site
     name = site.leader()
@@ -139,7 +139,7 @@
     assert site.acked[0] == version
 
 
-@when("the frozen control VM thaws and is read at once")
+@when("the frozen control VM resumes and is read at once")
 def step_thaw(context):
     site = context.site
     site.frozen.discard(context.old)
@@ -157,7 +157,7 @@
     assert all(r.declared.version >= version for r in described)
 
 
-@when("all control VMs are killed and start again")
+@when("all control VMs restart")
 def step_restart_all(context):
     site = context.site
     for name in site.names:
@@ -166,7 +166,7 @@
         site.start(name)
 
 
-@when("all control VMs lose their side state, are killed and start again")
+@when("all control VMs restart without their soft state")
 def step_restart_blank(context):
     site = context.site
     for name in site.names:
@@ -181,7 +181,7 @@
     context.site.start_entry("e9")
 
 
-@then("the new entry acts on version {version:d}")
+@then("the new entry applies version {version:d}")
 def step_new_acts(context, version):
     assert context.site.versions["e9"] == version
 
@@ -194,8 +194,8 @@
 
 
 @then(
-    "{voting:d} of {count:d} control VMs vote, one stands by, all with their"
-    " present disks"
+    "{voting:d} of {count:d} control VMs are voters and one is a learner, all"
+    " with their current disks"
 )
 def step_odd_seats(context, voting, count):
     site = context.site
@@ -206,16 +206,16 @@
     assert sum(seat.voting for seat in seats) == voting, seats
 
 
-@then("{count:d} control VMs hold voting seats with their present disks")
+@then("{count:d} control VMs hold voting seats with their current disks")
 def step_seats(context, count):
     site = context.site
     leader = site.nodes[site.leader()]
-    found = {s.name: s.disk for s in progress.voters(leader.voter.seats)}
+    found = {s.name: s.disk for s in progress.voting_seats(leader.voter.seats)}
     assert found == {n: site.nodes[n].voter.disk for n in site.names}, found
     assert len(found) == count, found
 
 
-@when('"{old}" is gone for good and "{new}" starts with an empty disk')
+@when('"{old}" is lost and "{new}" starts with an empty disk')
 def step_replace(context, old, new):
     site = context.site
     site.kill(old)
@@ -227,7 +227,7 @@
 def step_voting(context, names):
     site = context.site
     leader = site.nodes[site.leader()]
-    found = [s.name for s in progress.voters(leader.voter.seats)]
+    found = [s.name for s in progress.voting_seats(leader.voter.seats)]
     assert sorted(found) == names.split(","), found
 
 
@@ -237,51 +237,51 @@
     site.announce("c1", site_lib.target(sequence=5))
     site.run(1.0)
     for node in site.nodes.values():
-        assert node.roster.directory.serving("s", site.now)
+        assert node.discovery.directory.serving("s", site.now)
     for follower in site.followers.values():
         assert follower.directory.serving("s", site.now)
 
 
-@when('the target tells "{name}" that it leaves')
+@when('the target reports to "{name}" that it is draining')
 def step_leaves(context, name):
     leaving = site_lib.target(sequence=7, presence=1)
     context.ack = context.site.announce(name, leaving)
 
 
-@then("the target has its acknowledgement")
+@then("the target gets its acknowledgement")
 def step_acked(context):
     got = context.site.results.get(context.ack)
-    assert isinstance(got, roster_lib.Acknowledged), got
+    assert isinstance(got, discovery_server.Acknowledged), got
 
 
-@then("the target is told to ask another control VM")
+@then("the target gets no acknowledgement")
 def step_not_acked(context):
     got = context.site.results.get(context.ack)
-    assert isinstance(got, roster_lib.Unconfirmed), got
+    assert isinstance(got, discovery_server.Unconfirmed), got
 
 
-@then("no entry would send to the target")
-def step_nobody(context):
+@then("no entry routes requests to the target")
+def step_target_excluded(context):
     site = context.site
     for follower in site.followers.values():
         assert not follower.directory.serving("s", site.now)
 
 
-@when('a heartbeat sent before that reaches "{name}"')
+@when('an older heartbeat of the target reaches "{name}"')
 def step_late_beat(context, name):
     context.site.run(0.2)
     context.site.announce(name, site_lib.target(sequence=6))
 
 
-@then("a new entry would not send to the target either")
-def step_new_nobody(context):
+@then("a new entry does not route requests to the target either")
+def step_target_excluded_new_entry(context):
     site = context.site
     site.start_entry("e9")
     site.run(1.5)
     assert not site.followers["e9"].directory.serving("s", site.now)
 
 
-@then("every entry is certain of its configuration")
+@then("every entry can confirm its configuration")
 def step_certain(context):
     site = context.site
     assert all(
@@ -295,7 +295,7 @@
     site.cut = {(e, c) for e in site.followers for c in site.names}
 
 
-@then("no entry is certain of its configuration")
+@then("no entry can confirm its configuration")
 def step_uncertain(context):
     site = context.site
     assert not any(
@@ -308,18 +308,18 @@
     context.failures = []
     for seed in range(count):
         try:
-            schedule(seed)
+            run_schedule(seed)
         except AssertionError as exc:
             context.failures.append((seed, str(exc)))
 
 
-@then("every promise held in each of them")
-def step_held(context):
+@then("no schedule broke a guarantee")
+def step_no_failures(context):
     assert not context.failures, context.failures
 
 
-def schedule(seed):
-    """Run one schedule: changes and reads among kills, cuts and losses."""
+def run_schedule(seed):
+    """Run one random schedule of changes, reads and faults."""
     rng = random.Random(seed)
     site = site_lib.Site(seed=seed)
     site.run(4.0)
@@ -350,27 +350,29 @@
                 site.frozen.add(rng.choice(site.names))
         site.run(rng.uniform(0.05, 1.5))
     site.settle()
-    floor = site.acked[0]
-    asks = [site.describe(name) for name in site.names]
+    min_version = site.acked[0]
+    requests = [site.describe(name) for name in site.names]
     site.run(1.5)
-    for ask in asks:
-        got = site.results.get(ask)
+    for request in requests:
+        got = site.results.get(request)
         if all(n.machine.declared().version == 0 for n in site.nodes.values()):
-            # Nothing was ever committed: there is nothing to be read.
-            assert floor == 0 and isinstance(got, roster_lib.Unconfirmed), got
+            # No version was committed, so there is nothing to read.
+            assert min_version == 0 and isinstance(
+                got, discovery_server.Unconfirmed
+            ), got
             return
         assert isinstance(got, node_lib.Described), f"no read: {got}"
-        assert got.declared.version >= floor
+        assert got.declared.version >= min_version
     newest = got.declared.version
     behind = [n for n in site.followers if site.versions[n] != newest]
     assert not behind, f"{behind} behind {newest}"
 
 
-@given("a site with 6 control VMs of which two may be lost at once")
+@given("a site with 6 control VMs that tolerates the loss of two")
 def step_six(context):
     context.site = site_lib.Site(controls=6, wanted=5)
     context.site.run(4.0)
-    context.asks = []
+    context.requests = []
 
 
 @given("a site with 6 control VMs of which only three run")
@@ -379,10 +381,10 @@
     for name in ("c4", "c5", "c6"):
         context.site.kill(name)
     context.site.run(1.0)
-    context.asks = []
+    context.requests = []
 
 
-@when("the leader and one more lose their disks while all lose power")
+@when("all control VMs lose power and the leader and another one their disks")
 def step_wipe_two(context):
     site = context.site
     leader = site.leader()
@@ -397,28 +399,28 @@
 
 @then("every control VM returns version {version:d}")
 def step_read_version(context, version):
-    for declared in read_everywhere(context.site):
+    for declared in read_from_all(context.site):
         assert declared.version == version, declared.version
 
 
-@then("a while later version {version:d} is taken by the three")
+@then("the three accept version {version:d} 5 s later")
 def step_taken_later(context, version):
     context.site.run(5.0)
-    ask = context.site.replace("c1", version)
+    request = context.site.replace("c1", version)
     context.site.run(1.5)
-    assert isinstance(context.site.results.get(ask), node_lib.Replaced)
+    assert isinstance(context.site.results.get(request), node_lib.Replaced)
 
 
 @given('a site of 6 control VMs where "{names}" have no disk')
 def step_diskless(context, names):
     context.site = site_lib.Site(controls=6, diskless=names.split(","))
     context.site.run(5.0)
-    context.asks = []
+    context.requests = []
 
 
-@given("a calm version {version:d}")
-def step_calm_version(context, version):
-    context.asks = [context.site.replace("c1", version)]
+@given("version {version:d} is committed")
+def step_commit_version(context, version):
+    context.requests = [context.site.replace("c1", version)]
     context.site.run(1.5)
     assert context.site.acked[0] == version
 
@@ -427,13 +429,13 @@
 def step_restart_one(context, name):
     context.site.kill(name)
     context.site.start(name)
-    context.site.nodes[name].begin_founding(decides=True, now=context.site.now)
+    context.site.nodes[name].start_bootstrap(decides=True, now=context.site.now)
 
 
-@when('a copy of its word reaches "{one}" and "{two}"')
-def step_founds(context, one, two):
+@when('its bootstrap request reaches "{one}" and "{two}"')
+def step_bootstrap_requests(context, one, two):
     for name in (one, two):
-        context.site.post("c1", name, config_messages.Found())
+        context.site.post("c1", name, config_messages.BootstrapRequest())
 
 
 @when("an agent starts")
@@ -445,5 +447,5 @@
 def step_knows_agent(context):
     site = context.site
     for name, node in site.nodes.items():
-        found = node.roster.nodes.fresh("agent", site.now)
+        found = node.discovery.nodes.live_nodes("agent", site.now)
         assert [agent.name for agent in found] == ["a1"], name
--- a/features/steps/large_steps.py
+++ b/features/steps/large_steps.py
@@ -14,8 +14,8 @@
 from jasperweir.components.balance import balancer as balancer_lib
 from jasperweir.components.balance import const as balance_const
 from jasperweir.components.balance import messages as balance_messages
+from jasperweir.components.configctl import discovery_server
 from jasperweir.components.configctl import messages as config_messages
-from jasperweir.components.configctl import roster as roster_lib
 from jasperweir.components.directory import directory as directory_lib
 from jasperweir.components.directory import records
 from jasperweir.components.discovery import client as discovery_client
@@ -263,7 +263,7 @@
 @then("the announcement is acknowledged")
 def step_announcement_acknowledged(context):
     got = context.site.results.get(context.announcement)
-    assert isinstance(got, roster_lib.Acknowledged), got
+    assert isinstance(got, discovery_server.Acknowledged), got
 
 
 @when("an entry starts that knows only the control VMs without a disk")
--- a/features/steps/lead_steps.py
+++ b/features/steps/lead_steps.py
@@ -1,4 +1,4 @@
-"""Steps of elections after all voters have started again."""
+"""Steps on elections after a restart of voters."""
 
 import random
 import statistics
@@ -9,30 +9,30 @@
 from features.harness import quorum
 
 
-def restart_all(count, seed, *, wiped):
-    """Return the seconds from the last start to a lead after a power loss."""
+def restart_all_voters(count, seed, *, wiped):
+    """Return the seconds from the last restart to the election of a leader."""
     rng = random.Random(seed)
-    net = quorum.Net([f"v{number}" for number in range(count)], seed)
-    net.found("v0")
-    led = net.settle()
-    names = list(net.voters)
+    cluster = quorum.Cluster([f"v{number}" for number in range(count)], seed)
+    cluster.bootstrap("v0")
+    leader = cluster.wait_for_leader()
+    names = list(cluster.voters)
     for name in names:
-        net.kill(name)
-    net.queue.clear()
-    net.now += 1.2
+        cluster.kill(name)
+    cluster.queue.clear()
+    cluster.now += 1.2
     if wiped:
-        net.disks[led].lose()
+        cluster.disks[leader].wipe()
     starts = [(rng.choice((0.0, 0.05, 0.1, 0.15)), name) for name in names]
-    began = net.now
+    began = cluster.now
     for after_s, name in sorted(starts):
-        while net.now < began + after_s:
-            net.run(quorum.STEP)
-        net.start(name)
-    started = net.now
-    while not net.leader():
-        net.run(quorum.STEP)
-        assert net.now - started < 10, "nobody leads"
-    return net.now - started
+        while cluster.now < began + after_s:
+            cluster.run(quorum.STEP)
+        cluster.start(name)
+    started = cluster.now
+    while not cluster.leader():
+        cluster.run(quorum.STEP)
+        assert cluster.now - started < 10, "no leader within 10 s"
+    return cluster.now - started
 
 
 @given(
@@ -41,54 +41,56 @@
 )
 def step_restart(context, count, times):
     context.waits = [
-        restart_all(count, seed, wiped=False) for seed in range(times)
+        restart_all_voters(count, seed, wiped=False) for seed in range(times)
     ]
 
 
 @given(
-    "{count:d} voters that start again, and whoever led has lost its disk,"
-    " {times:d} times"
+    "{count:d} voters that lose power and start again, the leader with a wiped"
+    " disk, {times:d} times"
 )
 def step_restart_wiped(context, count, times):
     context.waits = [
-        restart_all(count, seed, wiped=True) for seed in range(times)
+        restart_all_voters(count, seed, wiped=True) for seed in range(times)
     ]
 
 
-@then("at the median one leads within {seconds:g} s of the last start")
+@then(
+    "the median time from the last start to a leader is at most {seconds:g} s"
+)
 def step_median(context, seconds):
     assert statistics.median(context.waits) <= seconds, context.waits
 
 
-@then("never later than {seconds:g} s after it")
+@then("the longest is at most {seconds:g} s")
 def step_never(context, seconds):
     assert max(context.waits) <= seconds, sorted(context.waits)
 
 
-def start_anew_beside_a_cut(seed):
-    """Let the one voter that hears the leader start again and again."""
-    net = quorum.Net(["v0", "v1", "v2"], seed)
-    net.found("v0")
-    led = net.settle()
-    deaf, hearing = (name for name in net.voters if name != led)
-    net.cut_pair(led, deaf)
-    net.run(2.0)
+def restart_voter_beside_partition(seed):
+    """Restart the only voter that hears the leader ten times in a row."""
+    cluster = quorum.Cluster(["v0", "v1", "v2"], seed)
+    cluster.bootstrap("v0")
+    leader = cluster.wait_for_leader()
+    deaf, hearing = (name for name in cluster.voters if name != leader)
+    cluster.cut_pair(leader, deaf)
+    cluster.run(2.0)
     for _ in range(10):
-        net.kill(hearing)
-        net.start(hearing)
-        # Whether two hold a lease is checked at each step.
-        net.run(quorum.STEP * random.Random(seed).choice((2, 5, 9)))
+        cluster.kill(hearing)
+        cluster.start(hearing)
+        # The harness checks at each step that only one lease is held.
+        cluster.run(quorum.STEP * random.Random(seed).choice((2, 5, 9)))
 
 
 @given(
-    "3 voters of which one does not hear the leader, and the other starts anew,"
-    " {times:d} times"
+    "3 voters of which one is cut off from the leader and the other restarts"
+    " repeatedly, for {times:d} seeds"
 )
-def step_anew(context, times):
+def step_restart_repeatedly(context, times):
     context.overlaps = []
     for seed in range(times):
         try:
-            start_anew_beside_a_cut(seed)
+            restart_voter_beside_partition(seed)
         except AssertionError as exc:
             context.overlaps.append((seed, str(exc)))
 
--- a/features/steps/quorum_steps.py
+++ b/features/steps/quorum_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the replicated log."""
+"""Steps on elections, replication and seats of the replicated log."""
 
 import random
 
@@ -16,294 +16,332 @@
 
 
 @given("{count:d} voters")
-def voters(context, count):
-    context.net = quorum.Net(NAMES[:count])
-    context.net.found("a")
-    context.net.settle()
+def step_voters(context, count):
+    context.cluster = quorum.Cluster(NAMES[:count])
+    context.cluster.bootstrap("a")
+    context.cluster.wait_for_leader()
     context.old = ""
     context.killed = ""
 
 
 @when('"{one}" and "{two}" are proposed')
-def propose_two(context, one, two):
+def step_propose_two(context, one, two):
     for text in (one, two):
-        assert context.net.settle()
-        assert context.net.propose(text.encode())
-        context.net.run(0.5)
+        assert context.cluster.wait_for_leader()
+        assert context.cluster.propose(text.encode())
+        context.cluster.run(0.5)
 
 
 @when("the leader is cut off")
-def cut_leader(context):
-    context.old = context.net.settle()
-    context.net.cut_off(context.old)
+def step_cut_leader(context):
+    context.old = context.cluster.wait_for_leader()
+    context.cluster.cut_off(context.old)
 
 
 @when("the leader is cut off from one follower")
-def cut_one(context):
-    lead = context.net.settle()
-    out = sorted(set(context.net.voters) - {lead})[0]
+def step_cut_leader_from_follower(context):
+    leader = context.cluster.wait_for_leader()
+    out = sorted(set(context.cluster.voters) - {leader})[0]
     context.cut_one = out
-    context.net.cut |= {(lead, out), (out, lead)}
+    context.cluster.cut |= {(leader, out), (out, leader)}
 
 
 @when("the other follower restarts with a damaged tail")
-def damaged(context):
-    net = context.net
-    lead = net.settle()
-    name = next(n for n in net.voters if n not in (lead, context.cut_one))
-    disk = net.disks[name]
+def step_restart_damaged_tail(context):
+    cluster = context.cluster
+    leader = cluster.wait_for_leader()
+    name = next(n for n in cluster.voters if n not in (leader, context.cut_one))
+    disk = cluster.disks[name]
     del disk.entries[max(disk.entries)]
-    disk.uncertain = True
-    net.kill(name)
-    net.cut_off(lead)
-    net.start(name)
+    disk.tail_uncertain = True
+    cluster.kill(name)
+    cluster.cut_off(leader)
+    cluster.start(name)
 
 
-@when("all cuts heal")
-def heal(context):
-    context.net.cut.clear()
+@when("all partitions heal")
+def step_heal(context):
+    context.cluster.cut.clear()
 
 
 @when("{seconds:d} seconds pass")
-def passes(context, seconds):
-    context.net.run(seconds)
+def step_pass(context, seconds):
+    context.cluster.run(seconds)
 
 
 @when("the leader is frozen")
-def freeze(context):
-    context.old = context.net.settle()
-    context.net.frozen.add(context.old)
+def step_freeze_leader(context):
+    context.old = context.cluster.wait_for_leader()
+    context.cluster.frozen.add(context.old)
 
 
 @when("{seconds:d} seconds pass in long steps")
-def long_steps(context, seconds):
-    context.net.run(10)
-    context.net.now += seconds
+def step_jump_clock(context, seconds):
+    context.cluster.run(10)
+    context.cluster.now += seconds
 
 
 @when("the frozen voter thaws")
-def thaw(context):
-    context.net.frozen.discard(context.old)
+def step_thaw(context):
+    context.cluster.frozen.discard(context.old)
 
 
 @when("a follower loses its disk")
-def lose_disk(context):
-    net = context.net
-    lead = net.settle()
-    name = sorted(set(net.voters) - {lead})[0]
-    net.kill(name)
-    net.disks[name].lose()
-    net.start(name)
+def step_wipe_follower(context):
+    cluster = context.cluster
+    leader = cluster.wait_for_leader()
+    name = sorted(set(cluster.voters) - {leader})[0]
+    cluster.kill(name)
+    cluster.disks[name].wipe()
+    cluster.start(name)
     context.lost = name
 
 
 @when("all voters lose their disks")
-def lose_all(context):
-    for name in list(context.net.voters):
-        context.net.kill(name)
-        context.net.disks[name].lose()
-        context.net.start(name)
+def step_wipe_all(context):
+    for name in list(context.cluster.voters):
+        context.cluster.kill(name)
+        context.cluster.disks[name].wipe()
+        context.cluster.start(name)
 
 
 @when("the lost voter gets a new seat")
-def reseat(context):
-    net = context.net
-    lead = net.voters[net.settle()]
-    held = lead.seats
+def step_replace_seat(context):
+    cluster = context.cluster
+    leader = cluster.voters[cluster.wait_for_leader()]
+    held = leader.seats
     kept = tuple(s for s in held.seats if s.name != context.lost)
-    idx, out = lead.change_seats(held._replace(seats=kept), net.now)
+    idx, out = leader.change_seats(held._replace(seats=kept), cluster.now)
     assert idx
-    net.perform(lead.name, out)
-    net.run(1)
-    net.seat(context.lost)
+    cluster.perform(leader.name, out)
+    cluster.run(1)
+    cluster.add_voter(context.lost)
 
 
 @when("the leader is killed")
-def kill_leader(context):
-    context.killed = context.net.leader() or next(
-        n for n, v in context.net.voters.items() if v.role == voter_lib.LEADER
+def step_kill_leader(context):
+    context.killed = context.cluster.leader() or next(
+        n
+        for n, v in context.cluster.voters.items()
+        if v.role == voter_lib.LEADER
     )
-    context.net.kill(context.killed)
+    context.cluster.kill(context.killed)
 
 
 @when("a follower is killed")
-def kill_follower(context):
-    net = context.net
-    lead = net.settle()
-    context.killed = sorted(set(net.voters) - {lead})[0]
-    net.kill(context.killed)
+def step_kill_follower(context):
+    cluster = context.cluster
+    leader = cluster.wait_for_leader()
+    context.killed = sorted(set(cluster.voters) - {leader})[0]
+    cluster.kill(context.killed)
 
 
 @when("the killed voter restarts")
-def restart(context):
-    context.net.start(context.killed)
-
-
-@when("the leader hands over")
-def hand_over(context):
-    net = context.net
-    net.run(1)
-    context.old = net.settle()
-    net.perform(context.old, net.voters[context.old].hand_over(net.now))
+def step_restart(context):
+    context.cluster.start(context.killed)
+
+
+@when("the leader transfers its leadership")
+def step_transfer(context):
+    cluster = context.cluster
+    cluster.run(1)
+    context.old = cluster.wait_for_leader()
+    cluster.perform(
+        context.old,
+        cluster.voters[context.old].transfer_leadership(cluster.now),
+    )
 
 
 @when("{count:d} entries are proposed and compacted")
-def compact(context, count):
-    net = context.net
+def step_compact(context, count):
+    cluster = context.cluster
     for i in range(count):
-        assert net.propose(b"%d" % i), i
-        net.run(0.05)
-    for name, voter in net.voters.items():
-        net.perform(name, voter.compact(voter.commit, b"state" * 100_000))
+        assert cluster.propose(b"%d" % i), i
+        cluster.run(0.05)
+    for name, voter in cluster.voters.items():
+        cluster.perform(name, voter.compact(voter.commit, b"state" * 100_000))
 
 
 @then("another voter leads")
-def other_leads(context):
-    assert context.net.leader() not in ("", context.old)
+def step_other_leads(context):
+    assert context.cluster.leader() not in ("", context.old)
 
 
 @then("the old leader accepts no proposal")
 @then("the thawed voter accepts no proposal")
-def refuses(context):
-    assert context.net.propose(b"x", context.old) == 0
+def step_proposal_refused(context):
+    assert context.cluster.propose(b"x", context.old) == 0
 
 
-@then("nobody leads")
-def no_leader(context):
-    assert context.net.leader() == ""
+@then("there is no leader")
+def step_no_leader(context):
+    assert context.cluster.leader() == ""
 
 
 @then('every voter has applied "{one}" and "{two}"')
-def applied(context, one, two):
-    context.net.run(2)
-    for name in context.net.voters:
-        data = [e.data for e in context.net.applied[name]]
+def step_applied(context, one, two):
+    context.cluster.run(2)
+    for name in context.cluster.voters:
+        data = [e.data for e in context.cluster.applied[name]]
         assert one.encode() in data and two.encode() in data, (name, data)
 
 
 @then("every voter is at the same commit")
-def same_commit(context):
-    commits = {n: v.commit for n, v in context.net.voters.items()}
+def step_same_commit(context):
+    commits = {n: v.commit for n, v in context.cluster.voters.items()}
     assert len(commits) == 3 and len(set(commits.values())) == 1, commits
 
 
+# Functions that inject a fault into a voter, for "kill" after some actions.
 FAULTS = {
-    "kill": lambda net, name, at: net.crash_at.update({name: at}),
-    "kill and disk loss": lambda net, name, at: net.crash_at.update({name: at}),
-    "freeze": lambda net, name, at: net.frozen.add(name),
-    "cut": lambda net, name, at: net.cut_off(name),
-    "one-way cut": lambda net, name, at: net.cut.update(
-        {(name, other) for other in net.disks if other != name}
+    "kill": lambda cluster, name, action: cluster.actions_until_crash.update(
+        {name: action}
+    ),
+    "kill and disk loss": lambda cluster, name, action: (
+        cluster.actions_until_crash.update({name: action})
+    ),
+    "freeze": lambda cluster, name, action: cluster.frozen.add(name),
+    "cut": lambda cluster, name, action: cluster.cut_off(name),
+    "one-way cut": lambda cluster, name, action: cluster.cut.update(
+        {(name, other) for other in cluster.disks if other != name}
     ),
-    "duplicates": lambda net, name, at: setattr(net, "double", 0.5),
-    "reordering": lambda net, name, at: setattr(net, "shuffle", True),
-    "loss": lambda net, name, at: setattr(net, "drop", 0.3),
+    "duplicates": lambda cluster, name, action: setattr(
+        cluster, "duplicate_rate", 0.5
+    ),
+    "reordering": lambda cluster, name, action: setattr(
+        cluster, "shuffle", True
+    ),
+    "loss": lambda cluster, name, action: setattr(cluster, "drop_rate", 0.3),
 }
 
 
-def one_change(fault, who, at):
-    """Hit one change at one action of one voter; return what was lost."""
-    net = quorum.Net(NAMES[:3], seed=at)
-    net.found("a")
-    lead = net.settle()
+def run_change_with_fault(fault, voter_number, action):
+    """Inject a fault at one action of one voter during a change.
+
+    Returns:
+        Entries that were lost or applied twice.
+    """
+    cluster = quorum.Cluster(NAMES[:3], seed=action)
+    cluster.bootstrap("a")
+    leader = cluster.wait_for_leader()
     accepted = []
-    if net.propose(b"before"):
-        net.run(1)
+    if cluster.propose(b"before"):
+        cluster.run(1)
         accepted.append(b"before")
-    name = lead if who == 0 else sorted(set(net.voters) - {lead})[who - 1]
-    FAULTS[fault](net, name, at)
-    idx = net.propose(b"during")
-    net.run(1.5)
+    name = (
+        leader
+        if voter_number == 0
+        else sorted(set(cluster.voters) - {leader})[voter_number - 1]
+    )
+    FAULTS[fault](cluster, name, action)
+    idx = cluster.propose(b"during")
+    cluster.run(1.5)
     if (
         idx
-        and net.committed.get(idx, None)
-        and (net.committed[idx].data == b"during")
+        and cluster.committed.get(idx, None)
+        and (cluster.committed[idx].data == b"during")
     ):
         accepted.append(b"during")
-    net.run(6)
-    net.crash_at.clear()
-    net.frozen.clear()
-    net.cut.clear()
-    net.drop = 0
-    if name not in net.voters:
+    cluster.run(6)
+    cluster.actions_until_crash.clear()
+    cluster.frozen.clear()
+    cluster.cut.clear()
+    cluster.drop_rate = 0
+    if name not in cluster.voters:
         if fault == "kill and disk loss":
-            net.disks[name].lose()
-        net.start(name)
-    net.settle()
-    assert net.propose(b"after")
-    net.run(2)
-    lost = [d for d in [*accepted, b"after"] if d not in net.data()]
-    doubled = [d for d in net.data() if net.data().count(d) > 1]
-    return lost + doubled
-
-
-@when("every action of a change is hit by {fault}")
-def every_action(context, fault):
+            cluster.disks[name].wipe()
+        cluster.start(name)
+    cluster.wait_for_leader()
+    assert cluster.propose(b"after")
+    cluster.run(2)
+    lost = [
+        d for d in [*accepted, b"after"] if d not in cluster.committed_ops()
+    ]
+    duplicated = [
+        d
+        for d in cluster.committed_ops()
+        if cluster.committed_ops().count(d) > 1
+    ]
+    return lost + duplicated
+
+
+@when("each action of a change is interrupted by {fault}")
+def step_fault_at_every_action(context, fault):
     context.lost = []
-    for who in range(3):
-        for at in range(8):
-            context.lost += one_change(fault, who, at)
+    for voter_number in range(3):
+        for action in range(8):
+            context.lost += run_change_with_fault(fault, voter_number, action)
 
 
 @then("no accepted entry was lost")
-def none_lost(context):
+def step_none_lost(context):
     assert not context.lost, context.lost
 
 
 EVENTS = (
     "propose", "propose", "propose", "run", "run", "kill", "start", "wipe",
-    "cut", "heal", "freeze", "thaw", "drop", "clean", "compact", "hand over",
+    "cut", "heal", "freeze", "thaw", "drop", "clean", "compact", "transfer",
 )  # fmt: skip
 
 
-def schedule(seed, events):
+def run_schedule(seed, events):
     """Run one schedule of events; the harness checks after each action."""
-    net = quorum.Net(NAMES[:5], seed=seed)
-    net.found("a")
+    cluster = quorum.Cluster(NAMES[:5], seed=seed)
+    cluster.bootstrap("a")
     rng = random.Random(seed)
     wiped = set()
     for event in events:
         name = rng.choice(NAMES[:5])
-        alive = name in net.voters
+        alive = name in cluster.voters
         match event:
             case "propose":
-                net.propose(b"%d" % net.steps)
+                cluster.propose(b"%d" % cluster.action_count)
             case "run":
-                net.run(rng.uniform(0.1, 3.0))
+                cluster.run(rng.uniform(0.1, 3.0))
             case "kill":
-                net.kill(name)
+                cluster.kill(name)
             case "start" if not alive:
-                net.start(name)
+                cluster.start(name)
             case "wipe" if not alive and len(wiped | {name}) <= 2:
                 wiped.add(name)
-                net.disks[name].lose()
+                cluster.disks[name].wipe()
             case "cut":
-                net.cut_off(name)
+                cluster.cut_off(name)
             case "heal":
-                net.cut.clear()
+                cluster.cut.clear()
             case "freeze" if alive:
-                net.frozen.add(name)
+                cluster.frozen.add(name)
             case "thaw":
-                net.frozen.clear()
+                cluster.frozen.clear()
             case "drop":
-                net.drop, net.double, net.shuffle = 0.2, 0.2, True
+                cluster.drop_rate, cluster.duplicate_rate, cluster.shuffle = (
+                    0.2,
+                    0.2,
+                    True,
+                )
             case "clean":
-                net.drop, net.double, net.shuffle = 0.0, 0.0, False
+                cluster.drop_rate, cluster.duplicate_rate, cluster.shuffle = (
+                    0.0,
+                    0.0,
+                    False,
+                )
             case "compact" if alive:
-                voter = net.voters[name]
-                net.perform(name, voter.compact(voter.commit, b"s"))
-            case "hand over" if alive:
-                net.perform(name, net.voters[name].hand_over(net.now))
-    return net.steps
+                voter = cluster.voters[name]
+                cluster.perform(name, voter.compact(voter.commit, b"s"))
+            case "transfer" if alive:
+                cluster.perform(
+                    name, cluster.voters[name].transfer_leadership(cluster.now)
+                )
+    return cluster.action_count
 
 
 @then("{count:d} random schedules of {length:d} events keep every invariant")
-def random_schedules(context, count, length):
-    draws.schedules(count, length, EVENTS, schedule)
+def step_random_schedules(context, count, length):
+    draws.schedules(count, length, EVENTS, run_schedule)
 
 
-def lone_voter(entries=(), meta=None, disk="a-disk"):
-    """Return a voter of three that has heard nobody, long after start."""
+def voter_without_peers(entries=(), meta=None, disk="a-disk"):
+    """Return one of three voters, long after its start and without a leader."""
     seats = messages.Seats(
         tuple(messages.Seat(n, f"{n}-disk", "x", True) for n in "abc"), "log"
     )
@@ -320,8 +358,8 @@
     )
 
 
-def candidate(voter):
-    """Let a voter's time run out and its pre-vote succeed."""
+def make_candidate(voter):
+    """Let the election timeout expire and the pre-vote succeed."""
     voter.tick(0.0)
     yes = messages.PreVoteReply(voter.term + 1, True, "b-disk")
     voter.receive("b", yes, 0.0)
@@ -329,42 +367,44 @@
     return voter
 
 
-def sent(acts, kind):
+def messages_of_type(acts, kind):
     return [a.msg for a in acts if isinstance(getattr(a, "msg", 0), kind)]
 
 
-def wiped_vote():
-    voter = candidate(lone_voter())
+def check_wiped_disk_vote_ignored():
+    voter = make_candidate(voter_without_peers())
     reply = messages.VoteReply(voter.term, True, "b-new-disk")
     voter.receive("b", reply, 0.0)
     assert voter.role == voter_lib.CANDIDATE
 
 
-def live_leader():
-    voter = lone_voter()
-    beat = messages.Append(1, 1, 1, (), 1, 1, 1)
-    voter.receive("b", beat, 0.0)
-    ask = messages.Vote(9, 99, 9, "c-disk")
-    assert voter.receive("c", ask, 0.5) == []
+def check_live_leader_not_deposed():
+    voter = voter_without_peers()
+    heartbeat = messages.Append(1, 1, 1, (), 1, 1, 1)
+    voter.receive("b", heartbeat, 0.0)
+    request = messages.Vote(9, 99, 9, "c-disk")
+    assert voter.receive("c", request, 0.5) == []
     assert voter.term == 1
 
 
-def stale_log():
-    voter = lone_voter((messages.Entry(2, 1, "op", b"x"),))
+def check_stale_log_gets_no_vote():
+    voter = voter_without_peers((messages.Entry(2, 1, "op", b"x"),))
     out = voter.receive("c", messages.Vote(2, 1, 1, "c-disk"), 0.0)
-    assert not sent(out, messages.VoteReply)[0].granted
+    assert not messages_of_type(out, messages.VoteReply)[0].granted
 
 
-def one_vote():
-    voter = lone_voter()
+def check_one_vote_per_term():
+    voter = voter_without_peers()
     first = voter.receive("b", messages.Vote(2, 9, 1, "b-disk"), 0.0)
     second = voter.receive("c", messages.Vote(2, 9, 1, "c-disk"), 0.0)
-    assert sent(first, messages.VoteReply)[0].granted
-    assert not sent(second, messages.VoteReply)[0].granted
+    assert messages_of_type(first, messages.VoteReply)[0].granted
+    assert not messages_of_type(second, messages.VoteReply)[0].granted
 
 
-def own_term():
-    voter = candidate(lone_voter((messages.Entry(2, 1, "op", b"x"),)))
+def check_own_term_before_commit():
+    voter = make_candidate(
+        voter_without_peers((messages.Entry(2, 1, "op", b"x"),))
+    )
     yes = messages.VoteReply(voter.term, True, "b-disk")
     voter.receive("b", yes, 0.0)
     assert voter.role == voter_lib.LEADER
@@ -373,25 +413,25 @@
     assert voter.commit == 0, voter.commit
 
 
-def handing_over():
-    net = quorum.Net(NAMES[:3])
-    net.found("a")
-    net.run(1)
-    lead = net.voters[net.settle()]
-    assert lead.hand_over(net.now)
-    assert not lead.has_lease(net.now)
+def check_transfer_ends_lease():
+    cluster = quorum.Cluster(NAMES[:3])
+    cluster.bootstrap("a")
+    cluster.run(1)
+    leader = cluster.voters[cluster.wait_for_leader()]
+    assert leader.transfer_leadership(cluster.now)
+    assert not leader.has_lease(cluster.now)
 
 
-LOG_GUARDS = {
-    "a wiped disk's vote does not count": wiped_vote,
-    "a live leader is not deposed": live_leader,
-    "a stale log gets no vote": stale_log,
-    "one vote a term": one_vote,
-    "own term before commit": own_term,
-    "handing over ends the lease": handing_over,
+SAFETY_RULES = {
+    "a wiped disk's vote does not count": check_wiped_disk_vote_ignored,
+    "a live leader is not deposed": check_live_leader_not_deposed,
+    "a stale log gets no vote": check_stale_log_gets_no_vote,
+    "one vote per term": check_one_vote_per_term,
+    "only entries of the own term commit": check_own_term_before_commit,
+    "transferring leadership ends the lease": check_transfer_ends_lease,
 }
 
 
-@then("the log's guard holds: {guard}")
-def log_guard(context, guard):
-    LOG_GUARDS[guard]()
+@then("the safety rule holds: {rule}")
+def step_safety_rule(context, rule):
+    SAFETY_RULES[rule]()
--- a/jasperweir/components/bundle/contents.py
+++ b/jasperweir/components/bundle/contents.py
@@ -1,7 +1,7 @@
-"""One bundle version by sections: checked, hashed and typed piece by piece.
+"""Content of a bundle version, validated, hashed and parsed by section.
 
-A change touches a few sections of thousands, so a new version shares all
-others with its parent and costs only what it changes.
+A change usually affects few of thousands of sections, so a new version shares
+the unchanged sections with its parent.
 """
 
 from collections.abc import Mapping
@@ -17,10 +17,10 @@
 from jasperweir.helpers import settings
 
 SEPARATOR = "\x1f"
-# What a new version changes against its parent; None removes a key.
+# Changes of a version relative to its parent; None removes a key.
 Change = Mapping[str, str | None]
-_SINGLE = ("bundle", "experts", "callers")
-_KINDS: dict[str, Any] = {
+_UNNAMED_SECTIONS = ("bundle", "experts", "callers")
+_RECORD_TYPES: dict[str, Any] = {
     "service": specs.ServiceSpec,
     "customer": specs.CustomerSpec,
     "place": specs.PlaceSpec,
@@ -28,7 +28,7 @@
 
 
 class Section(NamedTuple):
-    """One section: its text, its digest and its typed record."""
+    """One section: its values as text, its digest and its typed record."""
 
     values: dict[str, str]
     digest: bytes
@@ -40,29 +40,29 @@
 
     Attributes:
         bundle: Typed view.
-        content_hash: Hash that a signed-off version carries.
+        content_hash: Hash of the content, as in the version's record.
     """
 
     def __init__(self, *, sections: dict[str, Section], name: str) -> None:
         self._sections = sections
         self._name = name
-        self.bundle = self._typed()
-        self.content_hash = self._hash()
+        self.bundle = self._build_bundle()
+        self.content_hash = self._compute_hash()
 
     @classmethod
     def from_flat(
         cls, content: Mapping[str, str], *, name: str = "bundle"
     ) -> "Contents":
-        """Check flat content from scratch.
+        """Validate flat content and return it by sections.
 
         Raises:
-            SettingsError: A value or a cross reference is wrong.
+            SettingsError: A value or a cross reference is invalid.
         """
         sections: dict[str, Section] = {}
         problems: list[str] = []
-        for section, values in _grouped(content).items():
+        for section, values in _group_by_section(content).items():
             try:
-                sections[section] = _section(name, section, values)
+                sections[section] = _make_section(name, section, values)
             except exceptions.SettingsError as exc:
                 problems += exc.problems
         if problems:
@@ -73,15 +73,15 @@
         """Return the flat content."""
         return {
             f"{section}{SEPARATOR}{key}": value
-            for section, found in self._sections.items()
-            for key, value in found.values.items()
+            for section, parsed in self._sections.items()
+            for key, value in parsed.values.items()
         }
 
     def patch(self, change: Change) -> "Contents":
         """Return the content with a change applied.
 
         Raises:
-            SettingsError: The new content would be wrong.
+            SettingsError: The new content is invalid.
         """
         touched: dict[str, dict[str, str]] = {}
         for flat, value in change.items():
@@ -96,17 +96,17 @@
         sections = dict(self._sections)
         for section, values in touched.items():
             if values:
-                sections[section] = _section(self._name, section, values)
+                sections[section] = _make_section(self._name, section, values)
             else:
                 sections.pop(section, None)
         return Contents(sections=sections, name=self._name)
 
-    def _typed(self) -> specs.Bundle:
+    def _build_bundle(self) -> specs.Bundle:
         single = {}
-        for title in _SINGLE:
-            found = self._sections.get(title)
-            if found is not None:
-                single[title] = found.record
+        for title in _UNNAMED_SECTIONS:
+            parsed = self._sections.get(title)
+            if parsed is not None:
+                single[title] = parsed.record
                 continue
             spec = schema.SCHEMA[title]
             if spec.required:
@@ -115,11 +115,11 @@
             single[title] = settings.check_section(
                 self._name, title, {}, schema.SCHEMA
             )
-        named: dict[str, dict[str, Any]] = {kind: {} for kind in _KINDS}
-        for section, found in self._sections.items():
+        named: dict[str, dict[str, Any]] = {kind: {} for kind in _RECORD_TYPES}
+        for section, parsed in self._sections.items():
             kind, space, title = section.partition(" ")
             if space:
-                named[kind][title] = found.record
+                named[kind][title] = parsed.record
         bundle = specs.Bundle(
             name=single["bundle"]["name"],
             services=named["service"],
@@ -131,28 +131,28 @@
         _check_places(self._name, bundle)
         return bundle
 
-    def _hash(self) -> str:
+    def _compute_hash(self) -> str:
         whole = hashlib.sha256()
         for section in sorted(self._sections):
             whole.update(self._sections[section].digest)
         return whole.hexdigest()
 
 
-def _grouped(content: Mapping[str, str]) -> dict[str, dict[str, str]]:
+def _group_by_section(content: Mapping[str, str]) -> dict[str, dict[str, str]]:
     groups: dict[str, dict[str, str]] = {}
     for flat, value in content.items():
         section, _, key = flat.partition(SEPARATOR)
-        # Thousands of sections share a few key names.
+        # Intern the key names to save memory: thousands of sections share them.
         groups.setdefault(section, {})[sys.intern(key)] = value
     return groups
 
 
-def _section(name: str, section: str, values: dict[str, str]) -> Section:
-    # The empty key only says that the section is there.
-    found = {key: value for key, value in values.items() if key}
-    checked = settings.check_section(name, section, found, schema.SCHEMA)
+def _make_section(name: str, section: str, values: dict[str, str]) -> Section:
+    # The empty key marks an empty section.
+    named_values = {key: value for key, value in values.items() if key}
+    checked = settings.check_section(name, section, named_values, schema.SCHEMA)
     kind, space, title = section.partition(" ")
-    record = _KINDS[kind](name=title, **checked) if space else checked
+    record = _RECORD_TYPES[kind](name=title, **checked) if space else checked
     packed = codec.pack([section, sorted(values.items())])
     return Section(values, hashlib.sha256(packed).digest(), record)
 
--- a/jasperweir/components/config/replica.py
+++ b/jasperweir/components/config/replica.py
@@ -1,4 +1,4 @@
-"""A node's own copy of the configuration and what it means here."""
+"""A node's replica of the configuration table."""
 
 from jasperweir import exceptions
 from jasperweir.components.bundle import contents
@@ -7,21 +7,22 @@
 from jasperweir.components.config import table as table_lib
 from jasperweir.components.registry import history
 from jasperweir.components.registry import ops
-from jasperweir.components.registry import view as view_lib
+from jasperweir.components.registry import view_cache
 from jasperweir.helpers import codec
 
 
 class Replica:
-    """Typed view of the configuration at one place.
+    """Typed view of the configuration for one data centre.
 
-    Versions at a node never go down: a pointer that is below the version in
-    force is not followed.
+    The applied bundle version never decreases: a pointer to a lower version
+    is ignored.
 
     Attributes:
-        table: Keys as replicated.
-        version: Bundle version in force here, 0 before the first.
+        table: Replicated key table.
+        version: Applied bundle version, 0 before the first.
         bundle: Typed view of that version, or None.
-        floor: Revision below which this node must not serve.
+        floor: Minimum revision for serving, None while unknown.
+        rejected: Number of versions that were invalid or corrupt.
     """
 
     def __init__(self, *, place: str) -> None:
@@ -31,30 +32,30 @@
         self.floor: int | None = None
         self.rejected = 0
         self._place = place
-        self._views = view_lib.CurrentView(table=self.table)
-        self._typed_revision = 0
+        self._view_cache = view_cache.ViewCache(table=self.table)
+        self._refreshed_revision = 0
         self._contents: contents.Contents | None = None
-        # Keys that hold values of versions above the one in force here.
-        self._ahead: set[str] = set()
+        # Keys with values of versions above the applied one.
+        self._pending_keys: set[str] = set()
 
     @property
     def ready(self) -> bool:
-        """Whether the copy has reached the floor and holds a bundle."""
+        """Whether the minimum revision is reached and a bundle applied."""
         if self.floor is None or self.table.revision < self.floor:
             return False
         return self.bundle is not None
 
     def refresh(self) -> bool:
-        """Follow the table; tell whether the version in force changed."""
-        if self.table.revision == self._typed_revision:
+        """Apply changes of the table; return whether the version changed."""
+        if self.table.revision == self._refreshed_revision:
             return False
-        self._ahead.update(
+        self._pending_keys.update(
             key
-            for key in self.table.changed_since(self._typed_revision)
+            for key in self.table.changed_since(self._refreshed_revision)
             if key.startswith(const.PREFIX_BUNDLE)
         )
-        self._typed_revision = self.table.revision
-        version = self._pointer()
+        self._refreshed_revision = self.table.revision
+        version = self._target_version()
         if version <= self.version:
             return False
         record = self.table.get(f"{const.PREFIX_VERSION}{version}")
@@ -62,46 +63,46 @@
             return False
         expected = codec.unpack(record, ops.Version).content_hash
         try:
-            new = self._contents_at(version)
+            new = self._load_contents(version)
         except exceptions.SettingsError:
             self.rejected += 1
             return False
         if new.content_hash != expected:
-            # Damaged on the way: the old version stays in force.
+            # The data is corrupt, so the old version stays applied.
             self.rejected += 1
             return False
         self._contents = new
         self.bundle = new.bundle
         self.version = version
-        self._ahead = {
+        self._pending_keys = {
             key
-            for key in self._ahead
+            for key in self._pending_keys
             if history.newest_version(self.table, key) > version
         }
         return True
 
-    def _contents_at(self, version: int) -> contents.Contents:
+    def _load_contents(self, version: int) -> contents.Contents:
         if self._contents is None:
             content = history.content_at(self.table, version)
             return contents.Contents.from_flat(content)
-        change = history.change_at(self.table, self._ahead, version)
+        change = history.change_at(self.table, self._pending_keys, version)
         return self._contents.patch(change)
 
     def view(self) -> ops.View:
-        """Return the entries that own claims."""
-        return self._views.current()
+        """Return the current claim view."""
+        return self._view_cache.get()
 
     def appointment(self, group: str) -> ops.Appointment | None:
-        """Return a group's coordinator."""
+        """Return the appointed coordinator of a group, or None."""
         data = self.table.get(f"{const.PREFIX_GROUP}{group}")
         return codec.unpack(data, ops.Appointment) if data else None
 
     def regions(self) -> dict[str, str]:
-        """Return the region of each place."""
+        """Return the region of each data centre by name."""
         if self.bundle is None:
             return {}
         return {p.name: p.region for p in self.bundle.places.values()}
 
-    def _pointer(self) -> int:
+    def _target_version(self) -> int:
         data = self.table.get(f"{const.PREFIX_PLACE}{self._place}")
         return codec.unpack(data, int) if data else 0
--- a/jasperweir/components/config/table.py
+++ b/jasperweir/components/config/table.py
@@ -1,4 +1,4 @@
-"""Table of keys that hands out what changed since a revision."""
+"""Replicated key table with deltas since a revision."""
 
 import bisect
 from typing import NamedTuple
@@ -19,8 +19,13 @@
 class Delta(NamedTuple):
     """Newest values of all keys changed after ``since`` up to ``upto``.
 
-    It holds no superseded value, so a node that missed hundreds of changes
-    receives each key once.
+    Each key occurs once, however many of its changes the receiver missed.
+
+    Attributes:
+        log_id: Identity of the log that the revisions belong to.
+        since: Revision that the receiver must have reached.
+        upto: Revision that the receiver reaches.
+        items: Changed keys.
     """
 
     log_id: str
@@ -30,22 +35,22 @@
 
 
 class Table:
-    """Key table; revisions come from the replicated log and only grow.
+    """Key table; revisions are indexes of the replicated log.
 
     Attributes:
         revision: Log index up to which the table is complete.
-        log_id: The log that the revisions belong to.
+        log_id: Identity of the log that the revisions belong to.
     """
 
     def __init__(self) -> None:
         self.revision = 0
         self.log_id = ""
         self._items: dict[str, Item] = {}
-        # Keys in order of revision; superseded places are skipped.
-        self._order: list[tuple[int, str]] = []
+        # Revisions and keys in order; outdated pairs are skipped by readers.
+        self._keys_by_revision: list[tuple[int, str]] = []
 
     def __len__(self) -> int:
-        """Return the number of keys, removed ones included."""
+        """Return the number of keys, including removed ones."""
         return len(self._items)
 
     def get(self, key: str) -> bytes | None:
@@ -67,43 +72,47 @@
         )
 
     def put(self, key: str, value: bytes | None, revision: int) -> None:
-        """Set a key at a revision that is not below any earlier one."""
+        """Set a key; ``revision`` must not be below an earlier one."""
         self._items[key] = Item(key=key, revision=revision, value=value)
-        self._order.append((revision, key))
+        self._keys_by_revision.append((revision, key))
         self.revision = max(self.revision, revision)
-        if len(self._order) > 2 * len(self._items) + 64:
-            self._tidy()
+        if len(self._keys_by_revision) > 2 * len(self._items) + 64:
+            self._rebuild_order()
 
     def advance(self, revision: int) -> None:
-        """Note that nothing else changed up to a revision."""
+        """Advance the revision without a change of keys."""
         self.revision = max(self.revision, revision)
 
     def delta(
         self, since: int, max_bytes: int = const.DELTA_MAX_BYTES
     ) -> Delta:
         """Return changes after a revision, cut at a revision boundary."""
-        start = bisect.bisect_right(self._order, (since, "\U0010ffff"))
+        start = bisect.bisect_right(
+            self._keys_by_revision, (since, "\U0010ffff")
+        )
         items: list[Item] = []
         size = 0
-        for revision, key in self._order[start:]:
+        for revision, key in self._keys_by_revision[start:]:
             item = self._items[key]
             if item.revision != revision:
                 continue
             if size > max_bytes and items[-1].revision < revision:
-                return self._delta(since, items[-1].revision, items)
+                return self._make_delta(since, items[-1].revision, items)
             items.append(item)
             size += len(key) + len(item.value or b"") + 12
-        return self._delta(since, self.revision, items)
+        return self._make_delta(since, self.revision, items)
 
-    def _delta(self, since: int, upto: int, items: list[Item]) -> Delta:
+    def _make_delta(self, since: int, upto: int, items: list[Item]) -> Delta:
         return Delta(
             log_id=self.log_id, since=since, upto=upto, items=tuple(items)
         )
 
     def apply(self, delta: Delta) -> bool:
-        """Take in a delta; False if it is old or would leave a gap.
+        """Apply a delta.
 
-        A delta of another log is never taken in, whatever its revisions.
+        Returns:
+            False if the delta is outdated, would leave a gap or belongs to
+            another log; it is then ignored.
         """
         if self.log_id and delta.log_id != self.log_id:
             return False
@@ -112,19 +121,21 @@
         for item in sorted(delta.items, key=lambda i: (i.revision, i.key)):
             if item.revision > self.revision_of(item.key):
                 self._items[item.key] = item
-                self._order.append((item.revision, item.key))
-        if len(self._order) > 2 * len(self._items) + 64:
-            self._tidy()
+                self._keys_by_revision.append((item.revision, item.key))
+        if len(self._keys_by_revision) > 2 * len(self._items) + 64:
+            self._rebuild_order()
         self.revision = delta.upto
         self.log_id = delta.log_id
         return True
 
     def changed_since(self, revision: int) -> list[str]:
         """Return the keys whose newest value came after a revision."""
-        start = bisect.bisect_right(self._order, (revision, "\U0010ffff"))
+        start = bisect.bisect_right(
+            self._keys_by_revision, (revision, "\U0010ffff")
+        )
         return [
             key
-            for at, key in self._order[start:]
+            for at, key in self._keys_by_revision[start:]
             if self._items[key].revision == at
         ]
 
@@ -137,9 +148,9 @@
         """Replace the whole table."""
         self.revision = revision
         self._items = {item.key: item for item in items}
-        self._tidy()
+        self._rebuild_order()
 
-    def _tidy(self) -> None:
-        self._order = sorted(
+    def _rebuild_order(self) -> None:
+        self._keys_by_revision = sorted(
             (item.revision, item.key) for item in self._items.values()
         )
--- /dev/null
+++ b/jasperweir/components/configctl/discovery_server.py
@@ -0,0 +1,421 @@
+"""Registration and discovery of targets, nodes and control VMs; sans-I/O.
+
+Entries receive updates at once and all target records periodically. A draining
+target is acknowledged once another control VM has its update.
+"""
+
+import itertools
+from typing import Any
+from typing import NamedTuple
+
+from jasperweir import core
+from jasperweir.components.configctl import const
+from jasperweir.components.configctl import digest_tracker
+from jasperweir.components.configctl import node_tracker
+from jasperweir.components.directory import const as directory_const
+from jasperweir.components.directory import directory as directory_lib
+from jasperweir.components.directory import records
+from jasperweir.components.quorum import messages as quorum_messages
+from jasperweir.helpers import codec
+from jasperweir.helpers import hashing
+
+Actions = list[Any]
+
+
+class Unconfirmed(NamedTuple):
+    """Action: report that a call could not be confirmed in time."""
+
+    number: int
+
+
+class Acknowledged(NamedTuple):
+    """Action: acknowledge a target's heartbeat or deregistration."""
+
+    number: int
+
+
+class StartedRequest(NamedTuple):
+    """Number of a started request and its first actions."""
+
+    number: int
+    acts: Actions
+
+
+class Leader(NamedTuple):
+    """Name of the leader of the log, empty if unknown, and its term."""
+
+    name: str
+    term: int
+
+
+class LogStatus(NamedTuple):
+    """State of the replicated log, for heartbeats.
+
+    Attributes:
+        version: Newest committed configuration version.
+        certain: Whether no newer version can be committed anywhere.
+        leader: Name of the leader, empty if unknown.
+        term: Term of the leader.
+        seats: Members of the log.
+    """
+
+    version: int
+    certain: bool
+    leader: str
+    term: int
+    seats: quorum_messages.Seats
+
+
+class DiscoveryServer:
+    """Tracks targets, nodes and control VMs and distributes updates.
+
+    Attributes:
+        directory: Targets announced here and at other control VMs.
+        controls: Time of the last heartbeat by the name of each other control
+            VM, minus infinity before the first.
+        nodes: Entries and agents that send heartbeats here.
+    """
+
+    def __init__(
+        self,
+        *,
+        name: str,
+        place: str,
+        seeds: tuple[str, ...],
+        numbers: "itertools.count[int]",
+        keeps_log: bool = True,
+    ) -> None:
+        """Initialize with the seeds as the only known control VMs.
+
+        Args:
+            name: Name of this control VM.
+            place: Its data centre.
+            seeds: Other control VMs.
+            numbers: Source of request numbers.
+            keeps_log: Whether it stores the log on a disk.
+        """
+        self.directory = directory_lib.Directory()
+        self.controls: dict[str, float] = {}
+        self.nodes = node_tracker.NodeTracker()
+        self._name = name
+        self._place = place
+        self._seeds = seeds
+        self._request_numbers = numbers
+        self._keeps_log = keeps_log
+        self._seats = quorum_messages.Seats()
+        # Newest heartbeat of each other control VM.
+        self._control_heartbeats: dict[str, records.ControlBeat] = {}
+        self._unacked_updates: dict[int, float] = {}
+        self._digest_tracker = digest_tracker.DigestTracker()
+        # Targets that announced themselves here since the last refresh.
+        self._announced_targets: set[str] = set()
+        self._next_heartbeat_at = 0.0
+        self._next_refresh_at = 0.0
+
+    # Targets.
+
+    def announce(self, target: records.Target, now: float) -> StartedRequest:
+        """Handle a target's heartbeat; ends in Acknowledged or Unconfirmed."""
+        before = self.directory.get(target.target_id)
+        digest = self.directory.digest
+        changed = self.directory.merge(target, now)
+        self._announced_targets.add(target.target_id)
+        after = self.directory.get(target.target_id)
+        number = next(self._request_numbers)
+        if after is None or not changed:
+            return StartedRequest(number, [Acknowledged(number=number)])
+        was_known = before is not None and before.presence is after.presence
+        return self._broadcast_target(after, digest, now, wait=not was_known)
+
+    def deregister(
+        self, target_id: str, now: float, born: int = 0
+    ) -> StartedRequest:
+        """Remove a target; ends in Acknowledged or Unconfirmed."""
+        digest = self.directory.digest
+        target = self.directory.leave(target_id, now, born)
+        return self._broadcast_target(target, digest, now, wait=True)
+
+    # Inputs.
+
+    def tick(self, log_status: LogStatus, now: float) -> Actions:
+        """Run all timers."""
+        self._seats = log_status.seats
+        self.directory.tick(now)
+        out = self._expire_unacked_updates(now)
+        if self.nodes.has_changes:
+            out += self.nodes.publish_changes(now)
+        if now >= self._next_heartbeat_at:
+            self._next_heartbeat_at = now + const.HEARTBEAT_SECONDS
+            out += self._send_heartbeats(log_status, now)
+        return out
+
+    def receive(
+        self, src: str, msg: Any, log_status: LogStatus, now: float
+    ) -> Actions:
+        """Handle a message from a control VM, an entry or an agent."""
+        match msg:
+            case records.ControlBeat():
+                return self._on_control_heartbeat(src, msg, log_status, now)
+            case records.NodeBeat():
+                return self._on_node_heartbeat(src, msg, log_status, now)
+            case records.Targets():
+                return self._on_targets(msg, now)
+            case records.News():
+                return self._on_target_update(src, msg, now)
+            case records.NewsAck():
+                if self._unacked_updates.pop(msg.number, None) is not None:
+                    return [Acknowledged(number=msg.number)]
+        return []
+
+    def restore(self, soft_state: bytes, now: float) -> None:
+        """Restore the targets known before a restart."""
+        known = codec.unpack(soft_state, records.Targets)
+        for target in known.targets:
+            self.directory.merge(target, now)
+
+    # Queries.
+
+    def soft_state(self, now: float) -> bytes:
+        """Return state that may be lost but makes a restart faster."""
+        return codec.pack(self._make_target_list(now))
+
+    def peers(self) -> list[str]:
+        """Return the names of the other control VMs."""
+        names = dict.fromkeys(self._seeds)
+        names.update(dict.fromkeys(self.controls))
+        names.update({s.name: None for s in self._seats.seats})
+        names.pop(self._name, None)
+        return list(names)
+
+    def _advertised_controls(
+        self, log_status: LogStatus, now: float
+    ) -> tuple[str, ...]:
+        """Return the control VMs that nodes should connect to."""
+        names = {self._name: None} if self._keeps_log else {}
+        names.update({seat.name: None for seat in log_status.seats.seats})
+        for name, heartbeat in self._control_heartbeats.items():
+            if heartbeat.keeps_log and self._is_live(name, now):
+                names[name] = None
+        return tuple(names)
+
+    def log_holders_by_place(
+        self, now: float, fresh_s: float
+    ) -> dict[str, str]:
+        """Return one control VM with the log by other data centre.
+
+        Args:
+            now: Monotonic seconds.
+            fresh_s: Maximum age of a control VM's heartbeat in seconds.
+        """
+        return {
+            heartbeat.place: name
+            for name, heartbeat in sorted(self._control_heartbeats.items())
+            if heartbeat.keeps_log
+            and heartbeat.place != self._place
+            and now - self.controls[name] < fresh_s
+        }
+
+    def _is_live(self, name: str, now: float) -> bool:
+        return now - self.controls[name] < const.CONTROL_SILENT_SECONDS
+
+    def reported_leader(self, now: float) -> Leader:
+        """Return the leader with the highest term in live heartbeats."""
+        leaders = [
+            Leader(heartbeat.leader, heartbeat.term)
+            for name, heartbeat in self._control_heartbeats.items()
+            if heartbeat.leader and self._is_live(name, now)
+        ]
+        return max(
+            leaders, key=lambda leader: leader.term, default=Leader("", 0)
+        )
+
+    # Other control VMs and nodes.
+
+    def _send_heartbeats(self, log_status: LogStatus, now: float) -> Actions:
+        self.nodes.remove_silent(now)
+        out = self.nodes.publish_changes(now)
+        peers = self.peers()
+        heartbeat = self._make_heartbeat(log_status, now)
+        out += [core.Send(dst=name, msg=heartbeat) for name in peers]
+        if now >= self._next_refresh_at:
+            self._next_refresh_at = now + const.REFRESH_SECONDS
+            out += self._send_refresh(peers, now)
+        return out
+
+    def _send_refresh(self, peers: list[str], now: float) -> Actions:
+        """Send the ages of target records, though nothing has changed.
+
+        Other control VMs get the targets announced here. An entry gets all
+        targets from a control VM of its own data centre, if there is one, to
+        save traffic between data centres.
+        """
+        announced = self._announced_targets
+        self._announced_targets = set()
+        recent = self._make_target_list(now, announced)
+        out: Actions = []
+        if recent.targets:
+            out += [core.Send(dst=name, msg=recent) for name in peers]
+        all_targets = self._make_target_list(now)
+        out += [
+            core.Send(dst=name, msg=all_targets)
+            for name in self.entries_to_refresh(now)
+        ]
+        return out
+
+    def entries_to_refresh(self, now: float) -> list[str]:
+        """Return the entries that this control VM refreshes.
+
+        These are the entries of its own data centre and of data centres
+        without a live control VM.
+        """
+        covered = {
+            heartbeat.place
+            for name, heartbeat in self._control_heartbeats.items()
+            if heartbeat.keeps_log and self._is_live(name, now)
+        }
+        covered.discard(self._place)
+        return [
+            name
+            for name in self.nodes.entry_names()
+            if self.nodes.get_place(name) not in covered
+        ]
+
+    def _make_heartbeat(
+        self, log_status: LogStatus, now: float
+    ) -> records.ControlBeat:
+        controls = self._advertised_controls(log_status, now)
+        return records.ControlBeat(
+            place=self._place,
+            version=log_status.version,
+            certain=log_status.certain,
+            keeps_log=self._keeps_log,
+            digest=self.directory.digest,
+            controls=controls,
+            controls_digest=hashing.checksum(codec.pack(controls)) >> 1,
+            nodes_digest=self.nodes.digest,
+            leader=log_status.leader,
+            term=log_status.term,
+        )
+
+    def _on_control_heartbeat(
+        self,
+        src: str,
+        msg: records.ControlBeat,
+        log_status: LogStatus,
+        now: float,
+    ) -> Actions:
+        is_new = src not in self._control_heartbeats
+        self.controls[src] = now
+        self._control_heartbeats[src] = msg
+        for name in msg.controls:
+            self.controls.setdefault(name, float("-inf"))
+        out: Actions = []
+        if is_new:
+            # Introduce this control VM at once, not with the next heartbeat.
+            out.append(
+                core.Send(dst=src, msg=self._make_heartbeat(log_status, now))
+            )
+        self._digest_tracker.set_current(self.directory.digest, now)
+        if self._digest_tracker.needs_full_list(src, msg.digest, now):
+            out.append(core.Send(dst=src, msg=self._make_target_list(now)))
+        return out
+
+    def _on_node_heartbeat(
+        self, src: str, msg: records.NodeBeat, log_status: LogStatus, now: float
+    ) -> Actions:
+        if not self.nodes.on_heartbeat(src, msg.node, now):
+            return []
+        heartbeat = self._make_heartbeat(log_status, now)
+        if msg.controls_digest == heartbeat.controls_digest:
+            # Leave out names that the node has, a third of the message.
+            heartbeat = heartbeat._replace(controls=())
+        out: Actions = [core.Send(dst=src, msg=heartbeat)]
+        if msg.node.kind != directory_const.KIND_ENTRY:
+            return out
+        self._digest_tracker.set_current(self.directory.digest, now)
+        if self._digest_tracker.needs_full_list(src, msg.digest, now):
+            out.append(core.Send(dst=src, msg=self._make_target_list(now)))
+        if msg.node.open:
+            out += self.nodes.resend_list(src, msg.nodes_digest, now)
+        return out
+
+    def _make_target_list(
+        self, now: float, only: set[str] | None = None
+    ) -> records.Targets:
+        """Return all target records, or those with the IDs in ``only``."""
+        rows = [
+            (target, round(age, 1))
+            for target, age in zip(
+                self.directory.targets(), self.directory.ages(now), strict=True
+            )
+            if only is None or target.target_id in only
+        ]
+        return records.Targets(
+            digest=self.directory.digest if only is None else 0,
+            targets=tuple(target for target, _ in rows),
+            ages=tuple(age for _, age in rows),
+        )
+
+    def _on_targets(self, msg: records.Targets, now: float) -> Actions:
+        out: Actions = []
+        for target, age in zip(msg.targets, msg.ages, strict=False):
+            before = self.directory.digest
+            if self.directory.merge(target, now, age):
+                out += self._notify_entries(target.target_id, before, now)
+        return out
+
+    def _on_target_update(
+        self, src: str, msg: records.News, now: float
+    ) -> Actions:
+        out: Actions = []
+        before = self.directory.digest
+        if self.directory.merge(msg.target, now):
+            out += self._notify_entries(msg.target.target_id, before, now)
+        if msg.number:
+            ack = records.NewsAck(number=msg.number)
+            out.append(core.Send(dst=src, msg=ack))
+        return out
+
+    def _notify_entries(
+        self, target_id: str, before: int, now: float
+    ) -> Actions:
+        """Send the entries the changed record of a target.
+
+        Args:
+            target_id: ID of the target.
+            before: Digest of all records before the change.
+            now: Monotonic seconds.
+        """
+        target = self.directory.get(target_id)
+        if target is None:
+            return []
+        after = self.directory.digest
+        self._digest_tracker.set_current(after, now)
+        update = records.News(target=target, before=before, after=after)
+        return [
+            core.Send(dst=name, msg=update) for name in self.nodes.entry_names()
+        ]
+
+    def _broadcast_target(
+        self, target: records.Target, before: int, now: float, *, wait: bool
+    ) -> StartedRequest:
+        number = next(self._request_numbers)
+        out = self._notify_entries(target.target_id, before, now)
+        update = records.News(target=target, number=number if wait else 0)
+        peers = self.peers()
+        out += [core.Send(dst=name, msg=update) for name in peers]
+        if wait and peers:
+            self._unacked_updates[number] = (
+                now + const.UPDATE_ACK_TIMEOUT_SECONDS
+            )
+        else:
+            out.append(Acknowledged(number=number))
+        return StartedRequest(number, out)
+
+    def _expire_unacked_updates(self, now: float) -> Actions:
+        expired = [
+            n for n, until in self._unacked_updates.items() if now >= until
+        ]
+        for number in expired:
+            del self._unacked_updates[number]
+        return [Unconfirmed(number=number) for number in expired]
--- a/jasperweir/components/configctl/messages.py
+++ b/jasperweir/components/configctl/messages.py
@@ -1,4 +1,4 @@
-"""Messages about whole configurations."""
+"""Messages about configurations between control VMs and nodes."""
 
 from typing import NamedTuple
 
@@ -6,8 +6,14 @@
 
 
 @codec.message("configctl.replace_ask")
-class ReplaceAsk(NamedTuple):
-    """A control VM hands an operator's configuration to the leader."""
+class ReplaceRequest(NamedTuple):
+    """Forwards an operator's configuration to the leader.
+
+    Attributes:
+        number: Request number, echoed by the reply.
+        version: Version of the configuration.
+        data: Compressed configuration.
+    """
 
     number: int
     version: int
@@ -15,24 +21,35 @@
 
 
 @codec.message("configctl.replace_answer")
-class ReplaceAnswer(NamedTuple):
-    """The leader has committed a configuration or holds a higher one."""
+class ReplaceReply(NamedTuple):
+    """Confirms that this or a higher version is committed."""
 
     number: int
     version: int
 
 
 @codec.message("configctl.read_ask")
-class ReadAsk(NamedTuple):
-    """A control VM asks the leader which version is the newest."""
+class ReadRequest(NamedTuple):
+    """Requests the newest committed configuration from the leader.
+
+    Attributes:
+        number: Request number, echoed by the reply.
+        held: Newest version that the sender holds.
+    """
 
     number: int
     held: int
 
 
 @codec.message("configctl.read_answer")
-class ReadAnswer(NamedTuple):
-    """The newest version; its content if the asker does not hold it."""
+class ReadReply(NamedTuple):
+    """Newest committed version.
+
+    Attributes:
+        number: Number of the request.
+        version: Newest committed version.
+        data: Compressed configuration, empty if the requester holds it.
+    """
 
     number: int
     version: int
@@ -40,20 +57,20 @@
 
 
 @codec.message("configctl.found")
-class Found(NamedTuple):
-    """A control VM without a disk names the one that founds the log."""
+class BootstrapRequest(NamedTuple):
+    """Tells the receiver, which has a disk, to bootstrap the log."""
 
 
 @codec.message("configctl.version")
 class VersionNews(NamedTuple):
-    """A version has been committed."""
+    """Notifies a node that a version has been committed."""
 
     version: int
 
 
 @codec.message("configctl.pull")
 class Pull(NamedTuple):
-    """A node asks for the newest committed configuration."""
+    """Requests the newest configuration if it is newer than ``held``."""
 
     held: int
 
--- a/jasperweir/components/configctl/seats.py
+++ b/jasperweir/components/configctl/seats.py
@@ -1,4 +1,4 @@
-"""Which processes hold a seat in the log; the leader's decisions."""
+"""Changes of seats, decided by the leader of the log."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,14 @@
 
 
 class Applicant(NamedTuple):
-    """A process with a disk that asks for a seat."""
+    """Process with a disk that requests a seat.
+
+    Attributes:
+        name: Name of the process.
+        disk: Identity of its disk.
+        addr: Its internal address.
+        asked_at: Time of its last request, monotonic seconds.
+    """
 
     name: str
     disk: str
@@ -16,7 +23,7 @@
     asked_at: float
 
 
-def next_seats(
+def next_seat_change(
     *,
     seats: messages.Seats,
     applicants: list[Applicant],
@@ -24,27 +31,30 @@
     wanted: int,
     now: float,
 ) -> messages.Seats | None:
-    """Return the next single change of seats, or None.
+    """Return the seats after the next change, or None if none is needed.
 
-    Seats are changed one at a time, so that each majority meets the one
-    before it. A wiped disk loses its old seat before it gets a new one.
+    Only one seat is changed at a time, so that the majorities before and after
+    the change overlap. A member with a wiped disk loses its old seat before it
+    gets a new one.
 
     Args:
-        seats: Seats in force.
-        applicants: Processes that ask for a seat.
-        heard_at: When each other member last answered the leader.
-        wanted: Voting members that the deployment should have.
+        seats: Current seats.
+        applicants: Processes that request a seat.
+        heard_at: Time of each other member's last reply to the leader.
+        wanted: Wanted number of voting members.
         now: Monotonic seconds.
     """
-    fresh = [
-        a for a in applicants if now - a.asked_at < const.HELLO_FRESH_SECONDS
+    recent = [
+        a
+        for a in applicants
+        if now - a.asked_at < const.SEAT_REQUEST_TTL_SECONDS
     ]
     held = {seat.name: seat for seat in seats.seats}
-    for applicant in fresh:
+    for applicant in recent:
         seat = held.get(applicant.name)
         if seat is not None and seat.disk != applicant.disk:
-            return _without(seats, seat)
-    for applicant in fresh:
+            return _without_seat(seats, seat)
+    for applicant in recent:
         if applicant.name not in held:
             learner = messages.Seat(
                 name=applicant.name,
@@ -53,16 +63,18 @@
                 voting=False,
             )
             return seats._replace(seats=(*seats.seats, learner))
-    if len(progress_lib.voters(seats)) <= wanted:
+    if len(progress_lib.voting_seats(seats)) <= wanted:
         return None
     silent = [
         seat
         for seat in seats.seats
         if now - heard_at.get(seat.name, now) > const.SEAT_SILENT_SECONDS
     ]
-    return _without(seats, silent[0]) if silent else None
+    return _without_seat(seats, silent[0]) if silent else None
 
 
-def _without(seats: messages.Seats, gone: messages.Seat) -> messages.Seats:
-    left = tuple(seat for seat in seats.seats if seat != gone)
-    return seats._replace(seats=left)
+def _without_seat(
+    seats: messages.Seats, removed: messages.Seat
+) -> messages.Seats:
+    remaining = tuple(seat for seat in seats.seats if seat != removed)
+    return seats._replace(seats=remaining)
--- a/jasperweir/components/control/groups.py
+++ b/jasperweir/components/control/appointments.py
@@ -1,4 +1,4 @@
-"""Decide which agent coordinates each expert group."""
+"""Appointment of the agent that coordinates each expert group."""
 
 from jasperweir.components.membership import const as member_const
 from jasperweir.components.membership import messages as member_messages
@@ -9,13 +9,13 @@
 Status = member_messages.Status
 
 
-def next_op(
+def next_appointment(
     machine: machine_lib.Machine, roster: roster_lib.Roster
 ) -> ops.Appoint | None:
     """Return the next appointment that is due, or None.
 
-    A coordinator is replaced only when it is dead, gone or leaving, or has
-    restarted; safety does not depend on that, grants are fenced by term.
+    A coordinator is replaced when it is dead, gone, leaving or restarted.
+    Safety doesn't depend on this, because grants are fenced by term.
     """
     groups: dict[str, list[member_messages.Member]] = {}
     for member in roster.members(member_const.KIND_AGENT):
@@ -23,7 +23,7 @@
             groups.setdefault(member.group, []).append(member)
     for group, members in sorted(groups.items()):
         current = machine.appointment(group)
-        if current is not None and _still_fit(current, roster):
+        if current is not None and _is_valid(current, roster):
             continue
         chosen = min(members, key=lambda m: m.name)
         return ops.Appoint(
@@ -35,7 +35,7 @@
     return None
 
 
-def _still_fit(current: ops.Appointment, roster: roster_lib.Roster) -> bool:
+def _is_valid(current: ops.Appointment, roster: roster_lib.Roster) -> bool:
     member = roster.get(current.coordinator)
     if member is None or member.inc != current.incarnation:
         return False
--- a/jasperweir/components/control/client.py
+++ b/jasperweir/components/control/client.py
@@ -1,4 +1,4 @@
-"""A node's side of control: beats, the leader's address, the floor."""
+"""Client of the control VMs on an entry or agent."""
 
 import random
 from typing import Any
@@ -8,18 +8,19 @@
 from jasperweir.components.control import messages
 
 Actions = list[Any]
-UNANSWERED_SECONDS = 1.0
-FLOOR_ASK_SECONDS = 0.5
+ACK_TIMEOUT_SECONDS = 1.0
+MIN_REVISION_REQUEST_SECONDS = 0.5
 REPORT_JITTER_SECONDS = 0.1
 
 
 class Client:
-    """Sans-I/O conversation of an entry or agent with the control VMs.
+    """Sans-I/O client that sends heartbeats to the control VMs.
 
     Attributes:
-        leader: Name of the control VM that answered as or for the leader.
-        floor: Revision learnt from a leader with a lease, or None.
-        heard_at: When a control VM last answered.
+        leader: Name of the leader as of the last answer, or empty.
+        leader_addr: Its internal address, or empty.
+        floor: Minimum revision confirmed by a leader with a lease, or None.
+        heard_at: Time of the last answer of a control VM.
     """
 
     def __init__(
@@ -27,7 +28,7 @@
         *,
         voters: tuple[str, ...],
         rng: random.Random,
-        every: float = const.BEAT_SECONDS,
+        interval_s: float = const.HEARTBEAT_SECONDS,
     ) -> None:
         self.leader = ""
         self.leader_addr = ""
@@ -35,22 +36,22 @@
         self.heard_at = float("-inf")
         self._voters = voters
         self._rng = rng
-        self._every = every
-        self._beat_at = 0.0
-        self._beat_id = 0
-        self._sent: dict[int, float] = {}
-        self._answered_id = 0
-        self._reported = (-1, -1)
-        self._floor_at = 0.0
-        self._turn = rng.randrange(max(len(voters), 1))
+        self._interval_s = interval_s
+        self._next_heartbeat_at = 0.0
+        self._heartbeat_id = 0
+        self._sent_at: dict[int, float] = {}
+        self._acked_id = 0
+        self._reported_state = (-1, -1)
+        self._next_min_revision_request_at = 0.0
+        self._voter_index = rng.randrange(max(len(voters), 1))
 
     def ask_floor(self, now: float) -> Actions:
-        """Ask every voter for the floor until a leader has confirmed it."""
-        if self.floor is not None or now < self._floor_at:
+        """Request the minimum revision until a leader has confirmed it."""
+        if self.floor is not None or now < self._next_min_revision_request_at:
             return []
-        self._floor_at = now + FLOOR_ASK_SECONDS
-        ask = messages.FloorAsk(nonce=self._beat_id)
-        return [core.Send(dst=name, msg=ask) for name in self._voters]
+        self._next_min_revision_request_at = now + MIN_REVISION_REQUEST_SECONDS
+        request = messages.FloorAsk(nonce=self._heartbeat_id)
+        return [core.Send(dst=name, msg=request) for name in self._voters]
 
     def beat(
         self,
@@ -62,25 +63,34 @@
         burn: float,
         now: float,
     ) -> Actions:
-        """Report what is in force, at once when it has changed."""
+        """Return a heartbeat when it is due; a changed state is due soon.
+
+        Args:
+            inc: Incarnation of this node.
+            place: Data centre of this node.
+            revision: Applied configuration revision.
+            ready_epoch: Newest claim view for which the node is repaired.
+            burn: Burn rate of its error budget.
+            now: Monotonic seconds.
+        """
         state = (revision, ready_epoch)
-        if state != self._reported:
+        if state != self._reported_state:
             jitter = self._rng.uniform(0, REPORT_JITTER_SECONDS)
-            self._beat_at = min(self._beat_at, now + jitter)
-            self._reported = state
-        sent_at = self._sent.get(self._beat_id, now)
-        unanswered = self._answered_id < self._beat_id
-        if unanswered and now - sent_at >= UNANSWERED_SECONDS:
+            self._next_heartbeat_at = min(self._next_heartbeat_at, now + jitter)
+            self._reported_state = state
+        sent_at = self._sent_at.get(self._heartbeat_id, now)
+        unanswered = self._acked_id < self._heartbeat_id
+        if unanswered and now - sent_at >= ACK_TIMEOUT_SECONDS:
             self._next_voter()
-            self._beat_at = min(self._beat_at, now)
-        if now < self._beat_at:
+            self._next_heartbeat_at = min(self._next_heartbeat_at, now)
+        if now < self._next_heartbeat_at:
             return []
-        self._beat_at = now + self._every
-        self._beat_id += 1
-        self._sent[self._beat_id] = now
-        self._sent.pop(self._beat_id - 16, None)
+        self._next_heartbeat_at = now + self._interval_s
+        self._heartbeat_id += 1
+        self._sent_at[self._heartbeat_id] = now
+        self._sent_at.pop(self._heartbeat_id - 16, None)
         msg = messages.Beat(
-            beat_id=self._beat_id,
+            beat_id=self._heartbeat_id,
             inc=inc,
             place=place,
             revision=revision,
@@ -92,34 +102,37 @@
     def on_ack(
         self, msg: messages.BeatAck, now: float
     ) -> tuple[int, float] | None:
-        """Take in an answer.
+        """Handle the answer to a heartbeat.
 
         Returns:
-            The confirmed claim epoch and when its question left, or None.
+            The confirmed claim epoch and the send time of the heartbeat, or
+            None if the answer confirms nothing.
         """
-        sent_at = self._sent.pop(msg.beat_id, None)
+        sent_at = self._sent_at.pop(msg.beat_id, None)
         if sent_at is None:
             return None
-        self._answered_id = max(self._answered_id, msg.beat_id)
+        self._acked_id = max(self._acked_id, msg.beat_id)
         self.heard_at = now
         if msg.leader and msg.leader != self.leader:
-            # Only the leader's answers confirm anything: ask it at once.
-            self._beat_at = now
-        self._every = msg.every_s
+            # Only the leader confirms the epoch, so contact it at once.
+            self._next_heartbeat_at = now
+        self._interval_s = msg.every_s
         self.leader = msg.leader
         self.leader_addr = msg.leader_addr
         return (msg.epoch, sent_at) if msg.confirmed else None
 
     def on_floor(self, msg: messages.FloorReply, now: float) -> None:
-        """Take in the floor, once."""
+        """Handle the minimum revision; only the first confirmed one counts."""
         self.heard_at = now
         if msg.confirmed and self.floor is None:
             self.floor = msg.revision
 
     def _destination(self) -> str:
-        return self.leader or self._voters[self._turn % len(self._voters)]
+        return (
+            self.leader or self._voters[self._voter_index % len(self._voters)]
+        )
 
     def _next_voter(self) -> None:
         self.leader = ""
-        self._turn += 1
-        self._answered_id = self._beat_id
+        self._voter_index += 1
+        self._acked_id = self._heartbeat_id
--- a/jasperweir/components/control/controller.py
+++ b/jasperweir/components/control/controller.py
@@ -1,4 +1,4 @@
-"""Sans-I/O core of a control VM: log, registry, membership and drivers."""
+"""Sans-I/O core of a control VM: log, registry, membership and rolls."""
 
 from typing import Any
 from typing import NamedTuple
@@ -6,11 +6,11 @@
 from jasperweir import core
 from jasperweir import result_codes
 from jasperweir.components.config import const as config_const
+from jasperweir.components.control import appointments
 from jasperweir.components.control import const
-from jasperweir.components.control import groups
 from jasperweir.components.control import messages
 from jasperweir.components.control import rollout as rollout_lib
-from jasperweir.components.control import views as views_lib
+from jasperweir.components.control import view_planner
 from jasperweir.components.membership import const as member_const
 from jasperweir.components.membership import gossip as gossip_lib
 from jasperweir.components.quorum import actions
@@ -25,21 +25,21 @@
 Code = result_codes.Code
 
 
-class Answered(NamedTuple):
-    """Action: an operation was applied; tell whoever waits for it."""
+class OperationApplied(NamedTuple):
+    """Action: an operation was applied; answer its operator."""
 
     op_id: str
     answer: ops.Answer
 
 
 class Controller:
-    """Tie the voter to the registry and drive what the leader owes.
+    """Applies committed operations and proposes those the leader must make.
 
     Attributes:
-        voter: Consensus member.
-        machine: Registry, as far as it is committed and known here.
-        gossip: Membership and spreading of configuration.
-        reports: Newest beat of each node.
+        voter: Member of the replicated log.
+        machine: State machine with the committed operations.
+        gossip: Membership and replication of the configuration.
+        reports: Newest heartbeat by node name.
     """
 
     def __init__(
@@ -53,41 +53,50 @@
         self.voter = voter
         self.machine = machine
         self.gossip = gossip
-        self.reports: dict[str, rollout_lib.Reported] = {}
+        self.reports: dict[str, rollout_lib.HeartbeatReport] = {}
         self._address = address
         self._rollout = rollout_lib.Rollout()
-        self._views = views_lib.Views()
-        self._hello_at = 0.0
-        self._driven_index = 0
-        # Membership and revision for which nothing was left to do.
-        self._settled = (-1, -1)
-        self._auto = 0
+        self._view_planner = view_planner.ViewPlanner()
+        self._next_hello_at = 0.0
+        self._automatic_op_index = 0
+        # Membership version and revision for which no operation was due.
+        self._settled_state = (-1, -1)
+        self._automatic_op_count = 0
         if voter.snapshot.idx:
             machine.load(voter.snapshot.data)
-        self._name_log()
+        self._set_log_id()
 
     # Inputs.
 
     def tick(self, now: float, wall: float) -> Actions:
-        """Let time pass."""
-        out = self._absorb(self.voter.tick(now))
+        """Run all timers.
+
+        Args:
+            now: Monotonic seconds.
+            wall: Seconds since the Unix epoch.
+        """
+        out = self._process_actions(self.voter.tick(now))
         out += self.gossip.tick(now)
         if self.voter.has_lease(now):
-            out += self._drive(now, wall)
-        if not self.voter.is_voting and now >= self._hello_at:
-            self._hello_at = now + quorum_const.HELLO_SECONDS
-            out += self._hello()
+            out += self._propose_automatic_op(now, wall)
+        if not self.voter.is_voting and now >= self._next_hello_at:
+            self._next_hello_at = now + quorum_const.HELLO_SECONDS
+            out += self._request_seat()
         return out + self._compact()
 
     def receive(self, src: str, msg: Any, now: float) -> Actions:
-        """Handle a message from any process."""
+        """Handle a message from another process."""
         match msg:
             case messages.Beat():
-                return self._on_beat(src, msg, now)
+                return self._on_heartbeat(src, msg, now)
             case messages.FloorAsk():
-                return [core.Send(dst=src, msg=self._floor(msg, now))]
+                return [
+                    core.Send(
+                        dst=src, msg=self._make_min_revision_reply(msg, now)
+                    )
+                ]
         if type(msg).__module__ == quorum_messages.__name__:
-            return self._absorb(self.voter.receive(src, msg, now))
+            return self._process_actions(self.voter.receive(src, msg, now))
         return self.gossip.receive(src, msg, now)
 
     def propose(
@@ -96,27 +105,27 @@
         """Propose an operation.
 
         Returns:
-            The recorded answer if the operation id is known, ACCEPTED if it
-            now stands in the log and waits for its commit, or NOT_LEADER.
+            The recorded answer if the operation ID is known, ACCEPTED if the
+            operation is in the log but not yet committed, or NOT_LEADER.
         """
-        recorded = self.machine.recorded(req)
+        recorded = self.machine.find_answer(req)
         if recorded is not None:
             return recorded, []
         index, out = self.voter.propose(codec.pack(req), now)
         if not index:
             return Code.NOT_LEADER, []
-        return Code.ACCEPTED, self._absorb(out)
+        return Code.ACCEPTED, self._process_actions(out)
 
     def add_seat(self, name: str, now: float) -> tuple[Code, Actions]:
-        """Give a waiting process a seat as a learner, then as a voter."""
-        hello = self.voter.waiting.get(name)
+        """Give a process that requested it a seat, first as a learner."""
+        hello = self.voter.seat_requests.get(name)
         if hello is None:
             return Code.NOT_FOUND, []
-        held = self.voter.seat(name)
+        held = self.voter.find_seat(name)
         if held is not None and held.disk == hello.disk:
             return Code.ACCEPTED, []
         if held is not None:
-            # The old disk must be voted out before the new one gets a seat.
+            # The seat of the old disk must be removed first.
             return Code.SEATS_BUSY, []
         seat = quorum_messages.Seat(
             name=name, disk=hello.disk, addr=hello.addr, voting=False
@@ -126,8 +135,8 @@
         return self._change_seats(seats, now)
 
     def remove_seat(self, name: str, now: float) -> tuple[Code, Actions]:
-        """Take a seat away, for good."""
-        if self.voter.seat(name) is None:
+        """Remove a seat."""
+        if self.voter.find_seat(name) is None:
             return Code.ACCEPTED, []
         seats = self.voter.seats._replace(
             seats=tuple(s for s in self.voter.seats.seats if s.name != name)
@@ -142,12 +151,12 @@
         index, out = self.voter.change_seats(seats, now)
         if not index:
             return Code.SEATS_BUSY, []
-        return Code.ACCEPTED, self._absorb(out)
+        return Code.ACCEPTED, self._process_actions(out)
 
     # Committed entries.
 
-    def _absorb(self, acts: Actions) -> Actions:
-        """Apply commits to the registry and pass the rest on."""
+    def _process_actions(self, acts: Actions) -> Actions:
+        """Apply commits to the registry and return the other actions."""
         out: Actions = []
         for act in acts:
             match act:
@@ -155,7 +164,7 @@
                     out += self._apply(act.entries)
                 case actions.Restore():
                     self.machine.load(act.snapshot.data)
-                    self._name_log()
+                    self._set_log_id()
                 case _:
                     out.append(act)
         return out
@@ -165,14 +174,14 @@
         for entry in entries:
             if entry.kind != quorum_const.KIND_OP:
                 self.machine.skip(entry.idx)
-                self._name_log()
+                self._set_log_id()
                 continue
             answer = self.machine.apply(entry.idx, entry.data)
             op_id = codec.unpack(entry.data, ops.Request).op_id
-            out.append(Answered(op_id=op_id, answer=answer))
+            out.append(OperationApplied(op_id=op_id, answer=answer))
         return out
 
-    def _name_log(self) -> None:
+    def _set_log_id(self) -> None:
         self.machine.table.log_id = self.voter.seats.log_id
 
     def _compact(self) -> Actions:
@@ -183,13 +192,17 @@
 
     # Nodes.
 
-    def _on_beat(self, src: str, msg: messages.Beat, now: float) -> Actions:
-        self.reports[src] = rollout_lib.Reported(beat=msg, at=now)
+    def _on_heartbeat(
+        self, src: str, msg: messages.Beat, now: float
+    ) -> Actions:
+        self.reports[src] = rollout_lib.HeartbeatReport(
+            heartbeat=msg, received_at=now
+        )
         leader = self.voter.leader
         ack = messages.BeatAck(
             beat_id=msg.beat_id,
             confirmed=self.voter.read_index(now) is not None,
-            every_s=self.beat_seconds(),
+            every_s=self.heartbeat_interval_s(),
             epoch=self.machine.view().epoch,
             leader=leader,
             leader_addr=self._leader_address(),
@@ -201,7 +214,9 @@
             out.append(core.Send(dst=src, msg=delta))
         return out
 
-    def _floor(self, msg: messages.FloorAsk, now: float) -> messages.FloorReply:
+    def _make_min_revision_reply(
+        self, msg: messages.FloorAsk, now: float
+    ) -> messages.FloorReply:
         index = self.voter.read_index(now)
         return messages.FloorReply(
             nonce=msg.nonce,
@@ -212,10 +227,10 @@
         )
 
     def _leader_address(self) -> str:
-        seat = self.voter.seat(self.voter.leader)
+        seat = self.voter.find_seat(self.voter.leader)
         return seat.addr if seat else ""
 
-    def _hello(self) -> Actions:
+    def _request_seat(self) -> Actions:
         msg = quorum_messages.Hello(disk=self.voter.disk, addr=self._address)
         own = self.gossip.roster.own.name
         return [
@@ -224,27 +239,27 @@
             if m.name != own
         ]
 
-    # The leader's drivers.
+    # Operations that the leader proposes.
 
-    def _drive(self, now: float, wall: float) -> Actions:
+    def _propose_automatic_op(self, now: float, wall: float) -> Actions:
         if self.voter.read_index(now) is None:
             return []
-        if self._driven_index > self.machine.table.revision:
-            # The last automatic operation is not applied yet.
+        if self._automatic_op_index > self.machine.table.revision:
+            # The last automatic operation is still uncommitted.
             return []
         op = self._next_op(now)
         if op is None:
             return []
-        self._auto += 1
+        self._automatic_op_count += 1
         req = ops.Request(
-            op_id=f"auto/{self.voter.term}/{self._auto}/{self.voter.name}",
-            who=f"{const.SELF}/{self.voter.name}",
+            op_id=f"auto/{self.voter.term}/{self._automatic_op_count}/{self.voter.name}",
+            who=f"{const.CONTROL_OPERATOR}/{self.voter.name}",
             at=wall,
             body=codec.pack_tagged(op),
         )
         index, out = self.voter.propose(codec.pack(req), now)
-        self._driven_index = index
-        return self._absorb(out)
+        self._automatic_op_index = index
+        return self._process_actions(out)
 
     def _next_op(self, now: float) -> Any:
         member_op = self._next_member_op(now)
@@ -252,23 +267,26 @@
             return member_op
         state = self.machine.roll()
         if state is None or state.halted or not state.pending:
-            self._rollout.idle()
+            self._rollout.reset()
             return None
         return self._rollout.next_op(
             state=state,
             revisions=self._place_revisions(),
             nodes=self.nodes_by_place(),
-            reports=self._fresh_reports(now),
+            reports=self._recent_reports(now),
             now=now,
         )
 
     def _next_member_op(self, now: float) -> Any:
-        """Follow the membership, at no cost while nothing has changed."""
+        """Return the operation due after a membership change, or None."""
         roster = self.gossip.roster
         key = (roster.version, self.machine.table.revision)
-        if key == self._settled and not self._views.unsettled:
+        if (
+            key == self._settled_state
+            and not self._view_planner.has_pending_change
+        ):
             return None
-        view_op = self._views.next_op(
+        view_op = self._view_planner.next_op(
             view=self.machine.view(),
             roster=roster,
             reports=self.reports,
@@ -276,14 +294,20 @@
         )
         if view_op is not None:
             return view_op
-        group_op = groups.next_op(self.machine, roster)
+        group_op = appointments.next_appointment(self.machine, roster)
         if group_op is None:
-            self._settled = key
+            self._settled_state = key
         return group_op
 
-    def _fresh_reports(self, now: float) -> dict[str, rollout_lib.Reported]:
-        oldest = now - const.BEATS_UNTIL_STALE * self.beat_seconds()
-        return {n: r for n, r in self.reports.items() if r.at >= oldest}
+    def _recent_reports(
+        self, now: float
+    ) -> dict[str, rollout_lib.HeartbeatReport]:
+        oldest = (
+            now - const.HEARTBEATS_UNTIL_STALE * self.heartbeat_interval_s()
+        )
+        return {
+            n: r for n, r in self.reports.items() if r.received_at >= oldest
+        }
 
     def _place_revisions(self) -> dict[str, int]:
         table = self.machine.table
@@ -293,13 +317,13 @@
             for key in table.keys(prefix)
         }
 
-    def beat_seconds(self) -> float:
-        """Return how often each node should beat."""
+    def heartbeat_interval_s(self) -> float:
+        """Return the heartbeat interval of each node in seconds."""
         count = len(self.gossip.roster.present(member_const.KIND_ENTRY))
-        return max(const.BEAT_SECONDS, count / const.BEATS_PER_SECOND)
+        return max(const.HEARTBEAT_SECONDS, count / const.HEARTBEATS_PER_SECOND)
 
     def nodes_by_place(self) -> dict[str, list[str]]:
-        """Return the names of present entries by place."""
+        """Return the names of live entries by data centre."""
         nodes: dict[str, list[str]] = {}
         for m in self.gossip.roster.present(member_const.KIND_ENTRY):
             nodes.setdefault(m.place, []).append(m.name)
--- a/jasperweir/components/control/views.py
+++ b/jasperweir/components/control/view_planner.py
@@ -1,4 +1,4 @@
-"""Decide which entries own claims."""
+"""Planning of claim views, the sets of entries that own claims."""
 
 from collections.abc import Mapping
 
@@ -12,11 +12,11 @@
 Status = member_messages.Status
 
 
-class Views:
-    """Follow the membership with as few and as careful views as possible.
+class ViewPlanner:
+    """Proposes a new claim view after the membership has changed.
 
-    A view may lose one owner of each range without loss of claims, so the
-    next one waits until the last one is repaired, or long enough.
+    Claims survive the loss of one owner of each partition per view, so the
+    next view waits until the last one is repaired, or for a timeout.
     """
 
     def __init__(self) -> None:
@@ -25,8 +25,8 @@
         self._epoch = 0
 
     @property
-    def unsettled(self) -> bool:
-        """Whether the membership differs from the view for now."""
+    def has_pending_change(self) -> bool:
+        """Whether the membership differs from the current view."""
         return self._differs_since is not None
 
     def next_op(
@@ -34,15 +34,15 @@
         *,
         view: ops.View,
         roster: roster_lib.Roster,
-        reports: Mapping[str, rollout.Reported],
+        reports: Mapping[str, rollout.HeartbeatReport],
         now: float,
     ) -> ops.SetView | None:
-        """Return the view to propose now, or None."""
+        """Return the operation to propose now, or None."""
         if view.epoch != self._epoch:
             self._epoch = view.epoch
             self._changed_at = now
             self._differs_since = None
-        wanted = self._wanted(view, roster)
+        wanted = self._wanted_members(view, roster)
         if not wanted or wanted == view.members:
             self._differs_since = None
             return None
@@ -50,35 +50,35 @@
             self._differs_since = now
         if now - self._differs_since < const.VIEW_DEBOUNCE_SECONDS:
             return None
-        patience = now - self._changed_at < const.VIEW_READY_SECONDS
-        if patience and not self._repaired(view, wanted, reports):
+        may_wait = now - self._changed_at < const.VIEW_REPAIR_TIMEOUT_SECONDS
+        if may_wait and not self._is_repaired(view, wanted, reports):
             return None
         return ops.SetView(epoch=view.epoch + 1, members=wanted)
 
-    def _wanted(
+    def _wanted_members(
         self, view: ops.View, roster: roster_lib.Roster
     ) -> tuple[tuple[str, int, str], ...]:
         current = set(view.members)
         members = []
         for m in roster.members(member_const.KIND_ENTRY):
             member = (m.name, m.inc, m.place)
-            keeps = m.status == Status.SUSPECT and member in current
-            if m.status == Status.ALIVE or keeps:
+            is_kept = m.status == Status.SUSPECT and member in current
+            if m.status == Status.ALIVE or is_kept:
                 members.append(member)
         return tuple(sorted(members))
 
-    def _repaired(
+    def _is_repaired(
         self,
         view: ops.View,
         wanted: tuple[tuple[str, int, str], ...],
-        reports: Mapping[str, rollout.Reported],
+        reports: Mapping[str, rollout.HeartbeatReport],
     ) -> bool:
         for name, inc, place in view.members:
             if (name, inc, place) not in wanted:
                 continue
             report = reports.get(name)
-            if report is None or report.beat.inc != inc:
+            if report is None or report.heartbeat.inc != inc:
                 return False
-            if report.beat.ready_epoch < view.epoch:
+            if report.heartbeat.ready_epoch < view.epoch:
                 return False
         return True
--- a/jasperweir/components/quorum/no_storage.py
+++ b/jasperweir/components/quorum/null_storage.py
@@ -1,13 +1,13 @@
-"""What stands for a data folder on a VM without a disk."""
+"""Storage of a control VM without a disk."""
 
 from jasperweir.components.quorum import messages
 
 
-class NoStorage:
-    """Keeps nothing: its process holds no seat and starts empty each time."""
+class NullStorage:
+    """Storage that discards all data, for a process that holds no seat."""
 
     def open(self) -> messages.Recovered:
-        """Return an empty log without a disk's identity."""
+        """Return an empty log without a disk identity."""
         return messages.Recovered(
             disk="",
             meta=messages.Meta(),
@@ -20,24 +20,24 @@
         """Do nothing."""
 
     def save_meta(self, meta: messages.Meta) -> None:
-        """Do nothing: without a seat no term or vote counts."""
+        """Discard the data; the process never votes."""
 
     def save_entries(
         self, first: int, entries: tuple[messages.Entry, ...]
     ) -> None:
-        """Do nothing: without a seat no entries are sent here."""
+        """Discard the data; no leader sends entries here."""
 
     def save_snapshot(
         self, snapshot: messages.Snapshot, kept: tuple[messages.Entry, ...]
     ) -> None:
-        """Do nothing: without a seat no snapshot is sent here."""
+        """Discard the data; no leader sends a snapshot here."""
 
-    def note_commit(self, index: int) -> None:
+    def save_commit_hint(self, index: int) -> None:
         """Do nothing."""
 
-    def note_side(self, data: bytes) -> None:
+    def save_soft_state(self, data: bytes) -> None:
         """Do nothing."""
 
-    def side(self) -> bytes:
-        """Return nothing."""
+    def load_soft_state(self) -> bytes:
+        """Return empty data."""
         return b""
--- a/jasperweir/components/quorum/voter.py
+++ b/jasperweir/components/quorum/voter.py
@@ -1,4 +1,4 @@
-"""Decisions of one voter: elections, leases, seats and the commit index."""
+"""Raft state machine of one voter: elections, leases, seats and commits."""
 
 import random
 from typing import Any
@@ -6,10 +6,10 @@
 from jasperweir import core
 from jasperweir.components.quorum import actions
 from jasperweir.components.quorum import const
-from jasperweir.components.quorum import following
+from jasperweir.components.quorum import follower
 from jasperweir.components.quorum import messages
 from jasperweir.components.quorum import progress as progress_lib
-from jasperweir.components.quorum import replication
+from jasperweir.components.quorum import replicator
 from jasperweir.components.quorum import state as state_lib
 from jasperweir.helpers import codec
 
@@ -31,14 +31,13 @@
     Attributes:
         role: One of the role constants of this module.
         leader: Name of the known leader, or an empty string.
-        waiting: Processes that ask for a seat, with their disks.
-        wanted_voters: Beyond so many voters learners stay learners, as long as
-            all voters answer; 0 for no bound. An odd number is best: six voters
-            of a core that was cut into halves had no majority on either side
-            for 6.6 s, five have it on one.
+        seat_requests: Newest seat request by the name of its sender.
+        wanted_voters: Number of live voters at which learners are no longer
+            promoted; 0 for no limit. An odd number leaves a majority on one
+            side of a partition into halves.
     """
 
-    _replicator: replication.Replicator | None = None
+    _replicator: replicator.Replicator | None = None
 
     def __init__(
         self,
@@ -51,52 +50,53 @@
         super().__init__(name=name, recovered=recovered)
         self.role = FOLLOWER
         self.leader = ""
-        self.waiting: dict[str, messages.Hello] = {}
+        self.seat_requests: dict[str, messages.Hello] = {}
         self._rng = rng
         self._votes: set[str] = set()
-        self._prevoting = False
-        self._heard_at = float("-inf")
+        self._is_prevoting = False
+        self._leader_heard_at = float("-inf")
         self._started_at = now
-        self._follower = following.Follower(state=self)
-        self._handing_over = False
+        self._follower = follower.Follower(state=self)
+        self._is_transferring = False
         self.wanted_voters = 0
-        self._deadline = now + self._first_wait_s()
+        self._election_due_at = now + self._initial_election_delay_s()
 
     # Queries.
 
     def reload_seats(self) -> None:
-        """Find the newest seats; a leader feeds them from now on."""
+        """Set the newest seats; a leader starts replicating to them."""
         super().reload_seats()
         if self._replicator is not None:
-            self._replicator.reseat(self.seats)
+            self._replicator.update_seats(self.seats)
 
     def has_lease(self, now: float) -> bool:
-        """Tell whether no other leader can exist at this moment."""
+        """Return whether no other leader can exist at this moment."""
         if self.role != LEADER or self._replicator is None:
             return False
-        if self._handing_over:
+        if self._is_transferring:
             return False
-        heard = self._replicator.majority_heard_at(now)
-        return now < heard + const.LEASE_SECONDS
+        acked_at = self._replicator.majority_acked_at(now)
+        return now < acked_at + const.LEASE_SECONDS
 
     def read_index(self, now: float) -> int | None:
         """Return an index that covers all committed entries, or None.
 
-        Only a leader with a lease that has committed in its own term knows.
+        Only a leader with a lease that has committed an entry of its own
+        term knows this index.
         """
-        if not self.has_lease(now) or not self.term_committed():
+        if not self.has_lease(now) or not self.has_committed_in_term():
             return None
         return self.commit
 
     @property
-    def led_since(self) -> float:
-        """When this voter took the lead, minus infinity if it does not."""
+    def leader_since(self) -> float:
+        """Start of this voter's leadership, minus infinity if not leader."""
         if self._replicator is None:
             return float("-inf")
-        return self._replicator.led_since
+        return self._replicator.leader_since
 
     def progress_of(self, name: str) -> progress_lib.Progress | None:
-        """Return a member's replication state, on the leader only."""
+        """Return a member's replication state, None if not leader."""
         if self._replicator is None:
             return None
         return self._replicator.peers.get(name)
@@ -104,7 +104,7 @@
     # Inputs.
 
     def bootstrap(self, addr: str) -> Actions:
-        """Found a new log with this disk as its only voter.
+        """Create a new log with this disk as its only voter.
 
         Raises:
             ValueError: The data folder already holds a log.
@@ -135,30 +135,29 @@
         ]
 
     def restore_commit(self, index: int) -> Actions:
-        """Commit again what was committed before a restart.
+        """Commit the entries that were committed before a restart.
 
-        Entries that were committed once are never replaced, so this needs
-        no leader; newer ones wait for one.
+        This needs no leader, because committed entries are never replaced.
         """
         index = min(index, self.log.last_index)
-        return self.commit_to(index) if index > self.commit else []
+        return self.advance_commit(index) if index > self.commit else []
 
     def tick(self, now: float) -> Actions:
-        """Let time pass: heartbeats, lease loss and elections."""
+        """Run timers: heartbeats, quorum checks and elections."""
         if self.role == LEADER:
             return self._tick_leader(now)
-        if now < self._deadline or not self.is_voting:
+        if now < self._election_due_at or not self.is_voting:
             return []
         if not self.may_vote:
-            self._rearm(now)
+            self._reset_election_timer(now)
             return []
         return self._start_prevote(now)
 
     def receive(self, src: str, msg: Any, now: float) -> Actions:
-        """Handle a message from another member."""
+        """Handle a message from another process."""
         match msg:
             case messages.Hello():
-                self.waiting[src] = msg
+                self.seat_requests[src] = msg
                 return []
             case messages.PreVote():
                 return self._on_prevote(src, msg, now)
@@ -184,8 +183,8 @@
         """Append an entry as the leader.
 
         Returns:
-            The entry's index and the actions, or 0 and nothing if this is
-            not a leader with a lease.
+            The index of the entry and the actions, or 0 and no actions if
+            this voter is not a leader with a lease.
         """
         if not self.has_lease(now):
             return 0, []
@@ -202,13 +201,18 @@
     def change_seats(
         self, seats: messages.Seats, now: float
     ) -> tuple[int, Actions]:
-        """Propose new seats, refused while another change is uncommitted."""
-        if self.seats_index > self.commit or not self.term_committed():
+        """Propose new seats.
+
+        Returns:
+            The index of the entry and the actions, or 0 and no actions while
+            another change is uncommitted.
+        """
+        if self.seats_index > self.commit or not self.has_committed_in_term():
             return 0, []
         return self.propose(codec.pack(seats), now, kind=const.KIND_SEATS)
 
     def compact(self, index: int, data: bytes) -> Actions:
-        """Replace the committed log up to an index by a snapshot."""
+        """Replace the committed log up to ``index`` with a snapshot."""
         term = self.log.term_at(index)
         if term is None or index > self.commit:
             return []
@@ -218,68 +222,72 @@
             idx=index, term=term, seats=self.seats_at(index), data=data
         )
         self.log.compact(index, term)
-        kept = self.log.between(index + 1, self.log.last_index)
+        kept = self.log.entries_between(index + 1, self.log.last_index)
         return [actions.SaveSnapshot(snapshot=self.snapshot, kept=kept)]
 
-    def hand_over(self, now: float) -> Actions:
-        """Give the lead to the most advanced voter, if it is caught up."""
+    def transfer_leadership(self, now: float) -> Actions:
+        """Transfer leadership to a live voter with a complete log, if any."""
         if self.role != LEADER or self._replicator is None:
             return []
-        target = self._replicator.best_successor(now)
+        target = self._replicator.find_transfer_target(now)
         if not target:
             return []
-        # The successor may lead at any moment from here on, so the lease of
-        # this term ends for good, even if the message is late.
-        self._handing_over = True
-        self._rearm(now)
+        # The target may become leader at any moment from now on, so this
+        # leader gives up its lease even if the message is delayed.
+        self._is_transferring = True
+        self._reset_election_timer(now)
         return [core.Send(dst=target, msg=messages.TimeoutNow(term=self.term))]
 
     # Elections.
 
     def _start_prevote(self, now: float) -> Actions:
-        self._rearm(now, const.START_RETRY_SECONDS)
+        self._reset_election_timer(now, const.START_RETRY_SECONDS)
         self.leader = ""
-        self._prevoting = True
+        self._is_prevoting = True
         self._votes = {self.name}
         if self.is_majority(self._votes):
             return self._start_election(now, transfer=False)
-        ask = messages.PreVote(
+        request = messages.PreVote(
             term=self.term + 1,
             last_index=self.log.last_index,
             last_term=self.log.last_term,
             disk=self.disk,
         )
-        return [core.Send(dst=name, msg=ask) for name in self.other_voters()]
+        return [
+            core.Send(dst=name, msg=request) for name in self.other_voters()
+        ]
 
     def _start_election(self, now: float, *, transfer: bool) -> Actions:
-        self._rearm(now, const.START_ELECTION_SECONDS)
-        self._prevoting = False
+        self._reset_election_timer(now, const.START_ELECTION_SECONDS)
+        self._is_prevoting = False
         self.term += 1
         self.voted_for = self.name
         self._votes = {self.name}
-        out: Actions = [self.save_meta()]
-        out += self._become(CANDIDATE, "")
+        out: Actions = [self.save_meta_action()]
+        out += self._set_role(CANDIDATE, "")
         if self.is_majority(self._votes):
-            return out + self._lead(now)
-        ask = messages.Vote(
+            return out + self._become_leader(now)
+        request = messages.Vote(
             term=self.term,
             last_index=self.log.last_index,
             last_term=self.log.last_term,
             disk=self.disk,
             transfer=transfer,
         )
-        out += [core.Send(dst=name, msg=ask) for name in self.other_voters()]
+        out += [
+            core.Send(dst=name, msg=request) for name in self.other_voters()
+        ]
         return out
 
     def _on_prevote(
         self, src: str, msg: messages.PreVote, now: float
     ) -> Actions:
         granted = (
-            self.knows(src, msg.disk)
+            self.holds_seat(src, msg.disk)
             and self.may_vote
             and msg.term > self.term
-            and not self._leader_alive(now)
-            and self.up_to_date(msg.last_index, msg.last_term)
+            and not self._is_leader_alive(now)
+            and self.is_log_up_to_date(msg.last_index, msg.last_term)
         )
         reply = messages.PreVoteReply(
             term=msg.term if granted else self.term,
@@ -293,11 +301,11 @@
     ) -> Actions:
         if not msg.granted:
             if msg.term > self.term:
-                return self._follow(msg.term, "", now)
+                return self._become_follower(msg.term, "", now)
             return []
-        if not self._prevoting or msg.term != self.term + 1:
+        if not self._is_prevoting or msg.term != self.term + 1:
             return []
-        if not self.knows(src, msg.disk):
+        if not self.holds_seat(src, msg.disk):
             return []
         self._votes.add(src)
         if not self.is_majority(self._votes):
@@ -305,24 +313,24 @@
         return self._start_election(now, transfer=False)
 
     def _on_vote(self, src: str, msg: messages.Vote, now: float) -> Actions:
-        if not self.knows(src, msg.disk):
+        if not self.holds_seat(src, msg.disk):
             return []
-        if self._leader_alive(now) and not msg.transfer:
-            # A live leader is not to be deposed by a member that lost it.
+        if self._is_leader_alive(now) and not msg.transfer:
+            # A member that lost contact must not depose a live leader.
             return []
         out: Actions = []
         if msg.term > self.term:
-            out += self._follow(msg.term, "", now)
+            out += self._become_follower(msg.term, "", now)
         granted = (
             msg.term == self.term
             and self.may_vote
             and self.voted_for in ("", src)
-            and self.up_to_date(msg.last_index, msg.last_term)
+            and self.is_log_up_to_date(msg.last_index, msg.last_term)
         )
         if granted:
             self.voted_for = src
-            self._rearm(now)
-            out.append(self.save_meta())
+            self._reset_election_timer(now)
+            out.append(self.save_meta_action())
         reply = messages.VoteReply(
             term=self.term, granted=granted, disk=self.disk
         )
@@ -333,22 +341,22 @@
         self, src: str, msg: messages.VoteReply, now: float
     ) -> Actions:
         if msg.term > self.term:
-            return self._follow(msg.term, "", now)
+            return self._become_follower(msg.term, "", now)
         if self.role != CANDIDATE or msg.term != self.term:
             return []
-        if not msg.granted or not self.knows(src, msg.disk):
+        if not msg.granted or not self.holds_seat(src, msg.disk):
             return []
         self._votes.add(src)
         if not self.is_majority(self._votes):
             return []
-        return self._lead(now)
+        return self._become_leader(now)
 
-    def _lead(self, now: float) -> Actions:
-        self._replicator = replication.Replicator(
+    def _become_leader(self, now: float) -> Actions:
+        self._replicator = replicator.Replicator(
             name=self.name, log=self.log, now=now
         )
-        self._replicator.reseat(self.seats)
-        out = self._become(LEADER, self.name)
+        self._replicator.update_seats(self.seats)
+        out = self._set_role(LEADER, self.name)
         entry = messages.Entry(
             idx=self.log.last_index + 1,
             term=self.term,
@@ -359,19 +367,19 @@
         out.append(actions.SaveEntries(first=entry.idx, entries=(entry,)))
         return out + self._advance_and_send(now)
 
-    # Leading.
+    # Leader.
 
     def _tick_leader(self, now: float) -> Actions:
         assert self._replicator is not None
-        if self._replicator.quorum_lost(now):
-            # Check-quorum: an isolated leader stops believing in itself.
-            return self._follow(self.term, "", now)
-        if self._handing_over and now >= self._deadline:
-            return self._follow(self.term, "", now)
+        if self._replicator.has_lost_quorum(now):
+            # An isolated leader steps down.
+            return self._become_follower(self.term, "", now)
+        if self._is_transferring and now >= self._election_due_at:
+            return self._become_follower(self.term, "", now)
         out = self._replicator.tick(now, self.term, self.commit, self.snapshot)
-        return out + self._promote(now)
+        return out + self._promote_learner(now)
 
-    def _promote(self, now: float) -> Actions:
+    def _promote_learner(self, now: float) -> Actions:
         assert self._replicator is not None
         if self._has_enough_voters(now):
             return []
@@ -381,11 +389,11 @@
             peer = self._replicator.peers.get(seat.name)
             if peer is None:
                 continue
-            lag = self.log.last_index - peer.match
-            if peer.match == 0 or lag > const.PROMOTE_LAG_ENTRIES:
+            lag = self.log.last_index - peer.match_index
+            if peer.match_index == 0 or lag > const.PROMOTE_LAG_ENTRIES:
                 continue
             if now - peer.acked_at > const.ELECTION_MIN_SECONDS:
-                # With a voter that is cut off a majority may be out of reach.
+                # Promoting an unreachable learner could cost the majority.
                 continue
             seats = self.seats._replace(
                 seats=tuple(
@@ -397,7 +405,7 @@
         return []
 
     def _has_enough_voters(self, now: float) -> bool:
-        """Tell whether learners stay what they are."""
+        """Return whether no learner needs to be promoted."""
         if not self.wanted_voters:
             return False
         others = self.other_voters()
@@ -408,7 +416,7 @@
         peer = self.progress_of(name)
         if peer is None:
             return False
-        heard_at = max(peer.acked_at, self.led_since)
+        heard_at = max(peer.acked_at, self.leader_since)
         return now - heard_at > const.REPLACE_SECONDS
 
     def _on_replication_reply(
@@ -418,29 +426,30 @@
         now: float,
     ) -> Actions:
         if msg.term > self.term:
-            return self._follow(msg.term, "", now)
+            return self._become_follower(msg.term, "", now)
         if self.role != LEADER or msg.term != self.term:
             return []
-        if self._replicator is None or not self.knows(src, msg.disk):
+        if self._replicator is None or not self.holds_seat(src, msg.disk):
             return []
-        self._replicator.answered(src, msg)
+        self._replicator.on_reply(src, msg)
         return self._advance_and_send(now)
 
     def _advance_and_send(self, now: float) -> Actions:
         assert self._replicator is not None
-        index = self._replicator.committable(self.is_voting)
+        index = self._replicator.majority_match_index(self.is_voting)
         out: Actions = []
-        # Only an entry of the own term may be counted; older ones follow.
+        # Only entries of the current term are committed by counting; older
+        # entries are committed along with them.
         if index > self.commit and self.log.term_at(index) == self.term:
-            out += self.commit_to(index)
-        out += self._replicator.send_due(
+            out += self.advance_commit(index)
+        out += self._replicator.send_pending(
             now, self.term, self.commit, self.snapshot
         )
-        if not self.seat(self.name) and self.term_committed():
-            out += self._follow(self.term, "", now)
+        if not self.find_seat(self.name) and self.has_committed_in_term():
+            out += self._become_follower(self.term, "", now)
         return out
 
-    # Following.
+    # Follower.
 
     def _on_leader_message(
         self, src: str, msg: messages.Append | messages.Install, now: float
@@ -452,31 +461,31 @@
             return [core.Send(dst=src, msg=reply)]
         out: Actions = []
         if msg.term > self.term or self.role != FOLLOWER:
-            out += self._follow(msg.term, src, now)
+            out += self._become_follower(msg.term, src, now)
         elif self.leader != src:
             self.leader = src
             out.append(self._role_changed())
-        self._heard_at = now
-        self._rearm(now)
+        self._leader_heard_at = now
+        self._reset_election_timer(now)
         if isinstance(msg, messages.Install):
             return out + self._follower.on_install(src, msg)
         return out + self._follower.on_append(src, msg)
 
-    # Shared steps.
+    # Role changes and timers.
 
-    def _follow(self, term: int, leader: str, now: float) -> Actions:
+    def _become_follower(self, term: int, leader: str, now: float) -> Actions:
         out: Actions = []
         if term > self.term:
             self.term = term
             self.voted_for = ""
-            out.append(self.save_meta())
-        self._prevoting = False
-        self._handing_over = False
+            out.append(self.save_meta_action())
+        self._is_prevoting = False
+        self._is_transferring = False
         self._replicator = None
-        self._rearm(now)
-        return out + self._become(FOLLOWER, leader)
+        self._reset_election_timer(now)
+        return out + self._set_role(FOLLOWER, leader)
 
-    def _become(self, role: str, leader: str) -> Actions:
+    def _set_role(self, role: str, leader: str) -> Actions:
         if (role, leader) == (self.role, self.leader):
             return []
         self.role = role
@@ -488,40 +497,42 @@
             role=self.role, term=self.term, leader=self.leader
         )
 
-    def _leader_alive(self, now: float) -> bool:
+    def _is_leader_alive(self, now: float) -> bool:
         if self.role == LEADER:
             return self.has_lease(now)
-        # A restarted voter may have promised a lease that it forgot.
+        # A restarted voter may have acknowledged a lease before the restart.
         if now < self._started_at + const.RESTART_SECONDS:
             return True
-        return now < self._heard_at + const.ELECTION_MIN_SECONDS
+        return now < self._leader_heard_at + const.ELECTION_MIN_SECONDS
 
-    def _first_wait_s(self) -> float:
-        """Return how long a voter that has just started waits for a leader.
+    def _initial_election_delay_s(self) -> float:
+        """Return the election delay after a start, in seconds.
 
-        Whoever led before goes first, as far as this voter's last vote tells.
+        The candidate of this voter's last vote, most likely the previous
+        leader, has the shortest delay.
         """
         voters = sorted([self.name, *self.other_voters()])
         if self.voted_for in voters:
             voters.remove(self.voted_for)
             voters.insert(0, self.voted_for)
-        place = voters.index(self.name)
-        return const.RESTART_SECONDS + place * const.STAGGER_SECONDS
+        rank = voters.index(self.name)
+        return const.RESTART_SECONDS + rank * const.STAGGER_SECONDS
 
-    def _starts(self, now: float) -> bool:
-        """Tell whether it has started just now and heard no leader yet."""
-        if self._heard_at > float("-inf"):
+    def _is_starting(self, now: float) -> bool:
+        """Return whether the voter started recently and heard no leader."""
+        if self._leader_heard_at > float("-inf"):
             return False
-        return now - self._started_at < const.START_RETRIES_SECONDS
+        return now - self._started_at < const.START_WINDOW_SECONDS
 
-    def _rearm(
+    def _reset_election_timer(
         self, now: float, at_start: tuple[float, float] = _ELECTION_SECONDS
     ) -> None:
-        """Set when an election is due.
+        """Set the time of the next election.
 
         Args:
             now: Monotonic seconds.
-            at_start: Range of the wait of one that has just started.
+            at_start: Range of the timeout in seconds while the voter is
+                starting.
         """
-        least, most = at_start if self._starts(now) else _ELECTION_SECONDS
-        self._deadline = now + self._rng.uniform(least, most)
+        least, most = at_start if self._is_starting(now) else _ELECTION_SECONDS
+        self._election_due_at = now + self._rng.uniform(least, most)
--- a/jasperweir/daemons/control.py
+++ b/jasperweir/daemons/control.py
@@ -126,7 +126,9 @@
         return self.controller.voter.role == voter_lib.LEADER
 
     def _hand_over(self) -> None:
-        self._perform(self.controller.voter.hand_over(self.host.now()))
+        self._perform(
+            self.controller.voter.transfer_leadership(self.host.now())
+        )
 
     # Actor callbacks.
 
@@ -165,7 +167,7 @@
                     self._storage.save_snapshot(act.snapshot, act.kept)
                 case quorum_actions.RoleChanged():
                     self._on_role(act)
-                case controller_lib.Answered():
+                case controller_lib.OperationApplied():
                     code = str(int(act.answer.code))
                     self.host.metrics.inc("operations", code=code)
                     self._log_answer(act)
@@ -173,7 +175,7 @@
                 case core.Send():
                     self._send(act)
 
-    def _log_answer(self, act: controller_lib.Answered) -> None:
+    def _log_answer(self, act: controller_lib.OperationApplied) -> None:
         answer = act.answer
         name = result_codes.Code(answer.code).name.lower()
         self.host.log.info(
@@ -181,7 +183,7 @@
         )
 
     def _send(self, act: core.Send) -> None:
-        seat = self.controller.voter.seat(act.dst)
+        seat = self.controller.voter.find_seat(act.dst)
         if seat is not None:
             self.host.link.learn(seat.name, seat.addr)
         self.host.send_all([act], self.controller.gossip.roster)
