--- a/features/steps/backpressure_steps.py
+++ b/features/steps/backpressure_steps.py
@@ -386,5 +386,5 @@
 @then("the entry may still send to {count:d} targets")
 def step_sees(context, count):
     entry = context.entry
-    found = entry.one.forwarder.targets.of("s", entry.clock.now)
+    found = entry.one.forwarder.targets.list_available("s", entry.clock.now)
     assert len(found) == count, found
--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -52,20 +52,20 @@
 @given("a {kind} request that one target has received")
 def step_request(context, kind):
     context.life = life_of(kind)
-    context.life.sent("t1")
+    context.life.on_sent("t1")
 
 
 @when('the target shows "{fault}"')
 def step_fault(context, fault):
     what = life_lib.Fault(fault)
     if what is life_lib.Fault.UNSENT:
-        context.life.sends = context.life.arrivals = 0
+        context.life.attempts = context.life.deliveries = 0
     context.verdict = context.life.on_fault("t1", what, 100.1)
 
 
 @when('a second target shows "{fault}"')
 def step_second(context, fault):
-    context.life.sent("t2")
+    context.life.on_sent("t2")
     what = life_lib.Fault(fault)
     context.verdict = context.life.on_fault("t2", what, 100.2)
 
@@ -73,9 +73,9 @@
 @then('the verdict is "{name}"')
 def step_verdict(context, name):
     match context.verdict:
-        case life_lib.SendAgain():
+        case life_lib.Retry():
             assert name == "again", "again"
-        case life_lib.GiveUp(code):
+        case life_lib.Fail(code):
             assert code.name.lower() == name, code
         case other:
             raise AssertionError(other)
@@ -91,7 +91,7 @@
         encoded="encoded" in marks,
         load=None,
     )
-    context.judged = context.life.judge_head(status, head)
+    context.judged = context.life.classify_response(status, head)
 
 
 @then('the head is judged "{name}"')
--- a/jasperweir/components/forward/waiting.py
+++ b/jasperweir/components/forward/admission.py
@@ -7,17 +7,17 @@
 from jasperweir import result_codes
 from jasperweir.components.balance import const
 from jasperweir.components.balance import outage as outage_lib
+from jasperweir.components.forward import available_targets
+from jasperweir.components.forward import capacity as capacity_lib
 from jasperweir.components.forward import exchange as exchange_lib
-from jasperweir.components.forward import places as places_lib
 from jasperweir.components.forward import queues as queues_lib
-from jasperweir.components.forward import record as record_lib
-from jasperweir.components.forward import starting as starting_lib
-from jasperweir.components.forward import targets as targets_lib
+from jasperweir.components.forward import recorder as recorder_lib
+from jasperweir.components.forward import startup_grace as startup_grace_lib
 
 Code = result_codes.Code
 
 
-class Waiting:
+class AdmissionPolicy:
     """Let requests of one entry wait as long as that helps them.
 
     Attributes:
@@ -31,42 +31,44 @@
         clock: core.Clock,
         queues: queues_lib.Queues,
         outages: outage_lib.Outages,
-        starting: starting_lib.Starting,
-        targets: targets_lib.Targets,
-        record: record_lib.Recorder,
+        startup_grace: startup_grace_lib.StartupGrace,
+        targets: available_targets.AvailableTargets,
+        recorder: recorder_lib.Recorder,
     ) -> None:
         self.stopping = False
         self.on_work: Callable[[], None] = lambda: None
         self._clock = clock
         self._queues = queues
         self._outages = outages
-        self._starting = starting
+        self._startup_grace = startup_grace
         self._targets = targets
-        self._record = record
+        self._recorder = recorder
 
-    def may_go(
+    def may_send_now(
         self,
         exchange: exchange_lib.Exchange,
-        reach: places_lib.Reach,
+        candidates: capacity_lib.Candidates,
         now: float,
     ) -> bool:
         """Tell whether a request that has just come passes those who wait."""
-        if reach.places < 1:
+        if candidates.free_slots < 1:
             return False
         if self._outages.of(exchange.service).lasts(now):
             # Those who come first show whether it has ended.
             return True
-        gate = self._queues.of(exchange.service).gate
+        gate = self._queues.get(exchange.service).gate
         if self._queues.is_timely(exchange, now):
             return not gate.timely(now)
         if len(gate):
             return False
-        return reach.late >= 1 or not self._starting.lasts(now)
+        return candidates.late_slots >= 1 or not self._startup_grace.is_active(
+            now
+        )
 
-    def for_place(
+    def wait_for_slot(
         self,
         exchange: exchange_lib.Exchange,
-        reach: places_lib.Reach,
+        candidates: capacity_lib.Candidates,
         running: int,
         now: float,
     ) -> None:
@@ -74,19 +76,21 @@
 
         Args:
             exchange: The request.
-            reach: Places that it may have.
+            candidates: Places that it may have.
             running: Requests at the service's targets.
             now: Monotonic seconds.
         """
-        wait_s = self._queues.foreseen_s(exchange.service, reach, running, now)
+        wait_s = self._queues.estimate_wait_s(
+            exchange.service, candidates, running, now
+        )
         if not exchange.life.expect_wait(wait_s):
-            exchange.give_up(Code.OVERLOADED)
+            exchange.fail(Code.OVERLOADED)
             return
-        self._wait(exchange, now, now)
+        self._enqueue(exchange, now, now)
 
-    def for_targets(self, exchange: exchange_lib.Exchange) -> bool:
+    def wait_for_targets(self, exchange: exchange_lib.Exchange) -> bool:
         """Let a request wait that targets refused, if it has the time."""
-        if self._at_start(exchange):
+        if self._wait_during_startup(exchange):
             return True
         now = self._clock.monotonic()
         not_before = now + const.PAUSE_SECONDS
@@ -95,33 +99,33 @@
             return False
         if self.stopping:
             return False
-        life.tried.clear()
-        self._wait(exchange, now, not_before)
+        life.tried_target_ids.clear()
+        self._enqueue(exchange, now, not_before)
         return True
 
-    def without_target(
+    def wait_for_available_target(
         self, exchange: exchange_lib.Exchange, now: float
     ) -> None:
         """Let a request wait until a target wants it, or refuse it at once."""
         life = exchange.life
-        ahead = len(self._queues.of(exchange.service).gate)
-        opens_s = self._targets.opens_in_s(
-            exchange.service, life.tried, ahead, now
+        ahead = len(self._queues.get(exchange.service).gate)
+        opens_s = self._targets.seconds_until_available(
+            exchange.service, life.tried_target_ids, ahead, now
         )
-        if life.tried and math.isinf(opens_s):
-            exchange.give_up(Code.TARGETS_REFUSED)
+        if life.tried_target_ids and math.isinf(opens_s):
+            exchange.fail(Code.TARGETS_REFUSED)
             return
         if math.isinf(opens_s):
-            if not self.for_targets(exchange):
-                exchange.give_up(Code.NO_TARGET)
+            if not self.wait_for_targets(exchange):
+                exchange.fail(Code.NO_TARGET)
             return
         in_time = life.expect_wait(opens_s)
         if self.stopping or not in_time or now + opens_s >= life.waits_until:
-            exchange.give_up(Code.BACKPRESSURE)
+            exchange.fail(Code.BACKPRESSURE)
             return
-        self._wait(exchange, now, now + opens_s)
+        self._enqueue(exchange, now, now + opens_s)
 
-    def _at_start(self, exchange: exchange_lib.Exchange) -> bool:
+    def _wait_during_startup(self, exchange: exchange_lib.Exchange) -> bool:
         """Let a request wait for targets that are about to be there.
 
         After a loss of all power targets refuse while their groups form. Who is
@@ -129,18 +133,18 @@
         """
         now = self._clock.monotonic()
         life = exchange.life
-        patience_s = life.remaining(life.arrived)
-        until = self._starting.kept_until(life.arrived, patience_s)
+        patience_s = life.remaining_s(life.arrived)
+        until = self._startup_grace.compute_deadline(life.arrived, patience_s)
         if self.stopping or until <= now:
             return False
-        life.kept_until = until
-        life.tried.clear()
-        self._wait(exchange, now, now)
+        life.startup_deadline = until
+        life.tried_target_ids.clear()
+        self._enqueue(exchange, now, now)
         return True
 
-    def _wait(
+    def _enqueue(
         self, exchange: exchange_lib.Exchange, now: float, not_before: float
     ) -> None:
-        self._queues.wait(exchange, not_before)
-        self._record.waits(exchange, now)
+        self._queues.enqueue(exchange, not_before)
+        self._recorder.record_wait(exchange, now)
         self.on_work()
--- a/jasperweir/components/forward/targets.py
+++ b/jasperweir/components/forward/available_targets.py
@@ -6,7 +6,7 @@
 from jasperweir.components.directory import records
 
 
-class Targets:
+class AvailableTargets:
     """Targets that are announced, less those that want nothing.
 
     Each choice begins here: of first requests, second ones, waiting ones and
@@ -34,12 +34,12 @@
         self._directory = directory
         self._outages = outages
 
-    def of(self, service: str, now: float) -> list[records.Target]:
+    def list_available(self, service: str, now: float) -> list[records.Target]:
         """Return the targets of a service that want requests."""
         announced = self._directory.serving(service, now)
-        return self.still_open(announced, service, now)
+        return self.filter_available(announced, service, now)
 
-    def still_open(
+    def filter_available(
         self, targets: list[records.Target], service: str, now: float
     ) -> list[records.Target]:
         """Return those of some targets of a service that want requests.
@@ -51,7 +51,7 @@
             return self.asked.unbarred(targets, now)
         return self.asked.open_to(targets, now)
 
-    def opens_in_s(
+    def seconds_until_available(
         self, service: str, tried: set[str], ahead: int, now: float
     ) -> float:
         """Return the seconds until one that was not tried wants requests.
@@ -69,7 +69,7 @@
         untried = [t for t in announced if t.target_id not in tried]
         return self.asked.opens_in_s(untried, now, ahead)
 
-    def on_service_back(self, service: str, now: float) -> None:
+    def on_service_recovered(self, service: str, now: float) -> None:
         """Note that a service that refused everything takes requests again."""
         self.asked.forgive(self._directory.serving(service, now))
 
--- a/jasperweir/components/forward/places.py
+++ b/jasperweir/components/forward/capacity.py
@@ -11,7 +11,7 @@
 from jasperweir.components.directory import records
 
 
-class Reach(NamedTuple):
+class Candidates(NamedTuple):
     """Targets that a request may go to now.
 
     Attributes:
@@ -23,12 +23,12 @@
     """
 
     targets: list[records.Target]
-    places: int
-    late: int
-    entries: int
+    free_slots: int
+    late_slots: int
+    entry_count: int
 
 
-class Places:
+class CapacityFinder:
     """Look for places near this entry first, then everywhere.
 
     Attributes:
@@ -42,17 +42,17 @@
         neighbours: neighbours_lib.Neighbours,
         rng: random.Random,
     ) -> None:
-        self.entries = 1
+        self.entry_count = 1
         self._balancer = balancer
         self._neighbours = neighbours
         self._rng = rng
 
-    def reach(
+    def find_candidates(
         self,
         targets: list[records.Target],
         limit: passes_lib.PassLimit | None,
         now: float,
-    ) -> Reach:
+    ) -> Candidates:
         """Return the near targets while they have places, else all.
 
         Args:
@@ -62,13 +62,15 @@
         """
         near = self._neighbours.home(targets, self._rng.random())
         if len(near) == len(targets):
-            return self._reach(near, limit, self.entries, now)
-        found = self._reach(near, limit, 1 + len(self._neighbours.peers), now)
-        if found.places >= 1:
+            return self._count_capacity(near, limit, self.entry_count, now)
+        found = self._count_capacity(
+            near, limit, 1 + len(self._neighbours.peers), now
+        )
+        if found.free_slots >= 1:
             return found
-        return self._reach(targets, limit, self.entries, now)
+        return self._count_capacity(targets, limit, self.entry_count, now)
 
-    def learn(
+    def update_limit(
         self,
         targets: list[records.Target],
         limit: passes_lib.PassLimit,
@@ -80,17 +82,17 @@
             Open requests for each near target.
         """
         near = self._neighbours.home(targets, self._rng.random())
-        streams = self.open_at(near, now) / max(len(near), 1)
+        streams = self.count_open(near, now) / max(len(near), 1)
         limit.update(streams, now)
         return streams
 
-    def _reach(
+    def _count_capacity(
         self,
         targets: list[records.Target],
         limit: passes_lib.PassLimit | None,
         entries: int,
         now: float,
-    ) -> Reach:
+    ) -> Candidates:
         """Return the free places of some targets that so many entries see."""
         loads = self._balancer.loads(targets, now)
         places = loads.free
@@ -104,8 +106,10 @@
             limit=limit,
             now=now,
         )
-        return Reach(targets, places, min(places, late - loads.open), entries)
+        return Candidates(
+            targets, places, min(places, late - loads.open), entries
+        )
 
-    def open_at(self, targets: list[records.Target], now: float) -> int:
+    def count_open(self, targets: list[records.Target], now: float) -> int:
         """Return the open requests of all entries at targets."""
         return self._balancer.loads(targets, now).open
--- a/jasperweir/components/forward/early.py
+++ b/jasperweir/components/forward/early_requests.py
@@ -7,7 +7,7 @@
 from jasperweir.helpers import http_server
 
 
-class Early(NamedTuple):
+class EarlyRequest(NamedTuple):
     """A request that waits for a configuration.
 
     Attributes:
@@ -19,30 +19,30 @@
 
     answering: http_server.Answering
     ask: dialect_lib.Ask
-    arrived: float
-    until: float
+    arrived_at: float
+    deadline: float
 
 
-class EarlyRequests:
+class EarlyRequestBuffer:
     """Keep requests for a moment until there are routes."""
 
     def __init__(self) -> None:
-        self._kept: list[Early] = []
+        self._requests: list[EarlyRequest] = []
 
     def __len__(self) -> int:
         """Return how many are kept."""
-        return len(self._kept)
+        return len(self._requests)
 
-    def keep(self, early: Early) -> None:
+    def add(self, early: EarlyRequest) -> None:
         """Keep a request."""
-        self._kept.append(early)
+        self._requests.append(early)
 
     def release(
         self,
         now: float,
         *,
-        accept: Callable[[Early], bool],
-        refuse: Callable[[Early], None],
+        accept: Callable[[EarlyRequest], bool],
+        refuse: Callable[[EarlyRequest], None],
     ) -> None:
         """Hand out what can go on or has waited long enough.
 
@@ -51,11 +51,11 @@
             accept: Takes a request in; False if it can't yet.
             refuse: Turns one away that has waited long enough.
         """
-        kept, self._kept = self._kept, []
+        kept, self._requests = self._requests, []
         for early in kept:
             if early.answering.done or accept(early):
                 continue
-            if now < early.until:
-                self._kept.append(early)
+            if now < early.deadline:
+                self._requests.append(early)
             else:
                 refuse(early)
--- a/jasperweir/components/forward/end_watch.py
+++ b/jasperweir/components/forward/end_watch.py
@@ -9,7 +9,7 @@
 from jasperweir import result_codes
 from jasperweir.components.directory import directory as directory_lib
 from jasperweir.components.directory import records
-from jasperweir.components.forward import record as record_lib
+from jasperweir.components.forward import recorder as recorder_lib
 from jasperweir.components.quarantine import const
 from jasperweir.components.quarantine import fingerprint
 from jasperweir.components.quarantine import ledger as ledger_lib
@@ -24,7 +24,7 @@
 Marks = tuple[messages.Mark, ...]
 
 
-class Sign(enum.Enum):
+class ProbeResult(enum.Enum):
     """What a new connection to a target showed."""
 
     # Nothing listens there any more.
@@ -51,37 +51,39 @@
         clock: core.Clock,
         pool: http_client.Pool,
         directory: directory_lib.Directory,
-        record: record_lib.Recorder,
+        recorder: recorder_lib.Recorder,
     ) -> None:
         self.ledger = ledger_lib.Ledger()
         self.on_marks: Callable[[Marks], None] = lambda _: None
         self._clock = clock
         self._pool = pool
         self._directory = directory
-        self._record = record
+        self._recorder = recorder
         self._suspects = suspects_lib.Suspects()
         self._checks: set[asyncio.Task[None]] = set()
 
-    def verdict(
+    def find_verdict(
         self, exchange: "exchange_lib.Exchange", now: float
     ) -> ledger_lib.Verdict:
         """Tell whether a request is kept from targets."""
-        found = self._known(exchange)
+        found = self._find_fingerprint(exchange)
         if found is None:
             return ledger_lib.Verdict(0, 0.0)
         return self.ledger.verdict(found, now)
 
-    def hold_back(self, exchange: "exchange_lib.Exchange", now: float) -> bool:
+    def reject_if_quarantined(
+        self, exchange: "exchange_lib.Exchange", now: float
+    ) -> bool:
         """Refuse a request under which targets have ended.
 
         Without it one request that comes back every few seconds ends one target
         each time, which is away for seconds and stops its group of ranks.
         """
-        verdict = self.verdict(exchange, now)
+        verdict = self.find_verdict(exchange, now)
         if not verdict.held_s:
             return False
-        self._record.held_back(exchange, verdict)
-        exchange.give_up(result_codes.Code.ENDS_TARGETS)
+        self._recorder.record_quarantined(exchange, verdict)
+        exchange.fail(result_codes.Code.ENDS_TARGETS)
         return True
 
     def on_broken(
@@ -100,39 +102,41 @@
         broken = suspects_lib.Try(exchange.life.ask.request_id, sent_at, now)
         if not self._suspects.on_broken(target, found, broken):
             return
-        check = asyncio.get_running_loop().create_task(self._check(target))
+        check = asyncio.get_running_loop().create_task(
+            self._check_target(target)
+        )
         self._checks.add(check)
         check.add_done_callback(self._checks.discard)
 
-    def on_answer(self, target: records.Target, sent_at: float) -> None:
+    def on_response(self, target: records.Target, sent_at: float) -> None:
         """Note that a target answers what it was sent at a time."""
         if len(self.ledger):
             now = self._clock.monotonic()
             marks = self.ledger.lives(_incarnation(target), sent_at, now)
-            self._tell(marks)
+            self._publish(marks)
 
-    def on_whole(self, exchange: "exchange_lib.Exchange") -> None:
+    def on_completed(self, exchange: "exchange_lib.Exchange") -> None:
         """Note that a request was answered whole, and well."""
-        found = self._known(exchange)
+        found = self._find_fingerprint(exchange)
         if found is not None:
-            self._tell(self.ledger.absolve(found, self._clock.monotonic()))
+            self._publish(self.ledger.absolve(found, self._clock.monotonic()))
 
-    def _known(
+    def _find_fingerprint(
         self, exchange: "exchange_lib.Exchange"
     ) -> fingerprint.Fingerprint | None:
         """Return a request's fingerprint if it may be remembered."""
         return self.ledger.find(_subject(exchange))
 
-    async def _check(self, target: records.Target) -> None:
+    async def _check_target(self, target: records.Target) -> None:
         await asyncio.sleep(const.CHECK_SECONDS)
-        sign = await self._sign(target)
+        result = await self._probe(target)
         case = self._suspects.on_checked(target)
         if case is None:
             return
-        self._record.checked(case, sign.value)
-        if sign is Sign.ENDED:
-            self._mark(case)
-        elif sign is Sign.NONE:
+        self._recorder.record_probe(case, result.value)
+        if result is ProbeResult.ENDED:
+            self._add_marks(case)
+        elif result is ProbeResult.NONE:
             self._suspects.keep(case, self._clock.monotonic())
 
     def tick(self, now: float) -> None:
@@ -142,10 +146,10 @@
             lambda service: self._directory.serving(service, now), now
         )
         for case in cases:
-            self._record.checked(case, Sign.REPLACED.value)
-            self._mark(case)
+            self._recorder.record_probe(case, ProbeResult.REPLACED.value)
+            self._add_marks(case)
 
-    def _mark(self, case: suspects_lib.Case) -> None:
+    def _add_marks(self, case: suspects_lib.Case) -> None:
         now = self._clock.monotonic()
         incarnation = _incarnation(case.target)
         for found, broken in case.suspects.items():
@@ -153,21 +157,21 @@
                 ended_s=now - broken.broke_at,
                 took_s=broken.broke_at - broken.began_at,
             )
-            self._tell(self.ledger.add(found, incarnation, now, run))
+            self._publish(self.ledger.add(found, incarnation, now, run))
 
-    def _tell(self, marks: Marks) -> None:
+    def _publish(self, marks: Marks) -> None:
         if marks:
             self.on_marks(marks)
 
-    async def _sign(self, target: records.Target) -> Sign:
+    async def _probe(self, target: records.Target) -> ProbeResult:
         try:
             conn = await self._pool.open(target.address)
         except ConnectionRefusedError:
-            return Sign.ENDED
+            return ProbeResult.ENDED
         except OSError:
-            return Sign.NONE
+            return ProbeResult.NONE
         conn.close()
-        return Sign.LISTENS
+        return ProbeResult.LISTENS
 
 
 def _subject(exchange: "exchange_lib.Exchange") -> fingerprint.Subject:
--- a/jasperweir/components/forward/events.py
+++ b/jasperweir/components/forward/events.py
@@ -2,7 +2,7 @@
 
 from jasperweir.components.forward import const
 
-_ENDS = (b"\n\n", b"\r\n\r\n")
+_TERMINATORS = (b"\n\n", b"\r\n\r\n")
 
 
 class EventSplitter:
@@ -14,26 +14,26 @@
 
     def __init__(self, *, last_id: str) -> None:
         self.last_id = last_id
-        self._held = b""
+        self._buffer = b""
 
     def feed(self, data: bytes) -> bytes:
         """Return the whole events that are complete now."""
-        self._held += data
-        end = max(self._held.rfind(mark) + len(mark) for mark in _ENDS)
-        if not any(mark in self._held for mark in _ENDS):
-            if len(self._held) <= const.EVENT_MAX_BYTES:
+        self._buffer += data
+        end = max(self._buffer.rfind(mark) + len(mark) for mark in _TERMINATORS)
+        if not any(mark in self._buffer for mark in _TERMINATORS):
+            if len(self._buffer) <= const.MAX_EVENT_BYTES:
                 return b""
-            end = len(self._held)
-        whole, self._held = self._held[:end], self._held[end:]
-        self._note_id(whole)
+            end = len(self._buffer)
+        whole, self._buffer = self._buffer[:end], self._buffer[end:]
+        self._update_last_id(whole)
         return whole
 
-    def rest(self) -> bytes:
+    def flush(self) -> bytes:
         """Return what is left when the stream has ended in order."""
-        rest, self._held = self._held, b""
+        rest, self._buffer = self._buffer, b""
         return rest
 
-    def _note_id(self, whole: bytes) -> None:
+    def _update_last_id(self, whole: bytes) -> None:
         at = whole.rfind(b"id:")
         while at > 0 and whole[at - 1 : at] != b"\n":
             at = whole.rfind(b"id:", 0, at)
--- a/jasperweir/components/forward/forwarder.py
+++ b/jasperweir/components/forward/forwarder.py
@@ -16,22 +16,22 @@
 from jasperweir.components.deployment import index as index_lib
 from jasperweir.components.directory import directory as directory_lib
 from jasperweir.components.directory import records
+from jasperweir.components.forward import admission as admission_lib
+from jasperweir.components.forward import available_targets
+from jasperweir.components.forward import capacity as capacity_lib
 from jasperweir.components.forward import dialect as dialect_lib
-from jasperweir.components.forward import early as early_lib
+from jasperweir.components.forward import early_requests
 from jasperweir.components.forward import end_watch
 from jasperweir.components.forward import exchange as exchange_lib
 from jasperweir.components.forward import life as life_lib
 from jasperweir.components.forward import matching
 from jasperweir.components.forward import notes as notes_lib
-from jasperweir.components.forward import pass_watch
-from jasperweir.components.forward import places as places_lib
+from jasperweir.components.forward import pass_monitor
 from jasperweir.components.forward import queues as queues_lib
-from jasperweir.components.forward import record as record_lib
+from jasperweir.components.forward import recorder as recorder_lib
 from jasperweir.components.forward import refusals as refusals_lib
-from jasperweir.components.forward import starting as starting_lib
+from jasperweir.components.forward import startup_grace as startup_grace_lib
 from jasperweir.components.forward import stragglers
-from jasperweir.components.forward import targets as targets_lib
-from jasperweir.components.forward import waiting as waiting_lib
 from jasperweir.helpers import http_client
 from jasperweir.helpers import http_server
 from jasperweir.helpers import metrics as metrics_lib
@@ -79,32 +79,34 @@
         self._clock = clock
         self._rng = rng
         self.neighbours = neighbours
-        self.places = places_lib.Places(
+        self.capacity = capacity_lib.CapacityFinder(
             balancer=self.balancer, neighbours=neighbours, rng=rng
         )
         self._directory = directory
         self._budget = budget_lib.RetryBudget(bounds=bounds)
-        self._record = record_lib.Recorder(metrics=metrics)
+        self._recorder = recorder_lib.Recorder(metrics=metrics)
         self.ends = end_watch.EndWatch(
             clock=clock,
             pool=self.pool,
             directory=directory,
-            record=self._record,
+            recorder=self._recorder,
         )
         self._refusals = refusals_lib.Refusals(dialect=dialect, rng=rng)
         self._patience = patience_lib.UsualPatience()
         self._outages = outage_lib.Outages()
-        self._early = early_lib.EarlyRequests()
-        self._starting = starting_lib.Starting(started_at=clock.monotonic())
-        self._numbers = itertools.count(1)
-        self._open: dict[int, exchange_lib.Exchange] = {}
+        self._early_requests = early_requests.EarlyRequestBuffer()
+        self._startup_grace = startup_grace_lib.StartupGrace(
+            started_at=clock.monotonic()
+        )
+        self._exchange_numbers = itertools.count(1)
+        self._open_exchanges: dict[int, exchange_lib.Exchange] = {}
         self._queues = queues_lib.Queues(
             balancer=self.balancer,
             neighbours=neighbours,
             outages=self._outages,
             rng=rng,
         )
-        self.targets = targets_lib.Targets(
+        self.targets = available_targets.AvailableTargets(
             directory=directory,
             outages=self._outages,
             name=neighbours.name,
@@ -115,20 +117,20 @@
             balancer=self.balancer,
             outages=self._outages,
             queues=self._queues,
-            record=self._record,
-            starting=self._starting,
+            recorder=self._recorder,
+            startup_grace=self._startup_grace,
         )
-        self.waiting = waiting_lib.Waiting(
+        self.admission = admission_lib.AdmissionPolicy(
             clock=clock,
             queues=self._queues,
             outages=self._outages,
-            starting=self._starting,
+            startup_grace=self._startup_grace,
             targets=self.targets,
-            record=self._record,
+            recorder=self._recorder,
         )
-        self.waiting.on_work = lambda: self.on_work()
-        self.passes = pass_watch.PassWatch(
-            places=self.places, directory=directory, record=self._record
+        self.admission.on_work = lambda: self.on_work()
+        self.pass_monitor = pass_monitor.PassMonitor(
+            capacity=self.capacity, directory=directory, recorder=self._recorder
         )
 
     def now(self) -> float:
@@ -137,17 +139,17 @@
 
     def stop(self) -> None:
         """Refuse new requests from now on."""
-        self.waiting.stopping = True
+        self.admission.stopping = True
 
     @property
     def stopping(self) -> bool:
         """Whether new requests are refused."""
-        return self.waiting.stopping
+        return self.admission.stopping
 
     @property
     def open_count(self) -> int:
         """Number of requests without a final answer."""
-        return len(self._open)
+        return len(self._open_exchanges)
 
     # Arrival.
 
@@ -158,43 +160,47 @@
         try:
             ask = self.dialect.ask(req)
         except ValueError as exc:
-            self._turn_away(answering, None, Code.BAD_HEADER, str(exc))
+            self._turn_away_request(answering, None, Code.BAD_HEADER, str(exc))
             return
         if index is None:
-            self._keep_early(answering, ask)
+            self._buffer_early(answering, ask)
             return
         self._accept(answering, ask, index, self.now())
 
-    def _keep_early(
+    def _buffer_early(
         self, answering: http_server.Answering, ask: dialect_lib.Ask
     ) -> None:
         """Keep a request for a moment until there are routes."""
         now = self.now()
-        until = self._starting.kept_until(now, ask.patience_s)
+        until = self._startup_grace.compute_deadline(now, ask.patience_s)
         if ask.resume_after:
             until = now + balance_const.RESUMED_WAIT_SECONDS
-        many = len(self._early) >= balance_const.START_KEPT_MOST
+        many = len(self._early_requests) >= balance_const.START_KEPT_MOST
         if self.stopping or many or until <= now:
-            self._turn_away(answering, ask, Code.NOT_READY, "no configuration")
+            self._turn_away_request(
+                answering, ask, Code.NOT_READY, "no configuration"
+            )
             return
-        self._early.keep(early_lib.Early(answering, ask, now, until))
-        self._record.kept(ask, until - now)
+        self._early_requests.add(
+            early_requests.EarlyRequest(answering, ask, now, until)
+        )
+        self._recorder.record_buffered(ask, until - now)
         self.on_work()
 
-    def _accept_early(self, early: early_lib.Early) -> bool:
+    def _accept_early(self, early: early_requests.EarlyRequest) -> bool:
         if self.index is None:
             return False
         self._accept(
             early.answering,
             early.ask,
             self.index,
-            early.arrived,
-            kept_until=early.until,
+            early.arrived_at,
+            kept_until=early.deadline,
         )
         return True
 
-    def _refuse_early(self, early: early_lib.Early) -> None:
-        self._turn_away(
+    def _reject_early(self, early: early_requests.EarlyRequest) -> None:
+        self._turn_away_request(
             early.answering, early.ask, Code.NOT_READY, "no configuration"
         )
 
@@ -206,26 +212,26 @@
         arrived: float,
         kept_until: float = float("-inf"),
     ) -> None:
-        match = matching.find(index, answering.request, ask)
+        match = matching.match_request(index, answering.request, ask)
         if isinstance(match, matching.Denial):
             self._deny(answering, ask, match)
             return
         if self.stopping:
-            self._turn_away(answering, ask, Code.DRAINING, "stopping")
+            self._turn_away_request(answering, ask, Code.DRAINING, "stopping")
             return
         now = self.now()
         service = match.route.draw_service(self._rng)
         used_s = self._patience.used(match.route, ask.patience_s)
         life = life_lib.Life(match=match, ask=ask, now=arrived, used_s=used_s)
-        life.kept_until = kept_until
+        life.startup_deadline = kept_until
         exchange = exchange_lib.Exchange(
-            number=next(self._numbers),
+            number=next(self._exchange_numbers),
             owner=self,
             answering=answering,
             life=life,
             service=service,
         )
-        self._open[exchange.number] = exchange
+        self._open_exchanges[exchange.number] = exchange
         self._budget.count_first(service, now)
         self._admit(exchange, now)
 
@@ -237,57 +243,61 @@
     ) -> None:
         """Deny what the configuration does not hold, if it is the newest."""
         code = denial.code if self.is_certain() else Code.NOT_READY
-        self._turn_away(answering, ask, code, denial.detail)
+        self._turn_away_request(answering, ask, code, denial.detail)
 
     # Places.
 
     def _admit(self, exchange: exchange_lib.Exchange, now: float) -> None:
-        if self.ends.hold_back(exchange, now):
+        if self.ends.reject_if_quarantined(exchange, now):
             return
-        targets = self.targets.of(exchange.service, now)
+        targets = self.targets.list_available(exchange.service, now)
         if not targets:
-            self.waiting.without_target(exchange, now)
+            self.admission.wait_for_available_target(exchange, now)
             return
-        reach = self._reach(exchange.service, targets, now)
-        if self.waiting.may_go(exchange, reach, now):
-            self._send(exchange, reach, now)
+        candidates = self._find_candidates(exchange.service, targets, now)
+        if self.admission.may_send_now(exchange, candidates, now):
+            self._choose_and_send(exchange, candidates, now)
             return
-        running = self.places.open_at(targets, now)
-        self.waiting.for_place(exchange, reach, running, now)
+        running = self.capacity.count_open(targets, now)
+        self.admission.wait_for_slot(exchange, candidates, running, now)
 
-    def _reach(
+    def _find_candidates(
         self, service: str, targets: list[records.Target], now: float
-    ) -> places_lib.Reach:
-        return self.places.reach(targets, self.passes.limits.of(service), now)
+    ) -> capacity_lib.Candidates:
+        return self.capacity.find_candidates(
+            targets, self.pass_monitor.limits.of(service), now
+        )
 
-    def _send(
+    def _choose_and_send(
         self,
         exchange: exchange_lib.Exchange,
-        reach: places_lib.Reach,
+        candidates: capacity_lib.Candidates,
         now: float,
     ) -> None:
-        if self.ends.hold_back(exchange, now):
+        if self.ends.reject_if_quarantined(exchange, now):
             return
-        tried = exchange.life.tried
+        tried = exchange.life.tried_target_ids
         # Others may have been sent there since the places were counted.
-        near = self.targets.still_open(reach.targets, exchange.service, now)
+        near = self.targets.filter_available(
+            candidates.targets, exchange.service, now
+        )
         target = self.balancer.choose(near, tried, now)
         if target is None:
             # All near ones have been tried.
-            targets = self.targets.of(exchange.service, now)
+            targets = self.targets.list_available(exchange.service, now)
             target = self.balancer.choose(targets, tried, now)
         if target is None:
-            self.waiting.without_target(exchange, now)
+            self.admission.wait_for_available_target(exchange, now)
             return
         target_id = target.target_id
         self._outages.of(exchange.service).on_sent(now)
-        self._record.chosen(
+        self._recorder.record_choice(
             exchange,
             target,
             at_target=self.balancer.count_at(target_id, now),
             unknown=self.balancer.unknown_at(target_id, now),
-            free=reach.places,
-            targets=len(reach.targets),
+            free=candidates.free_slots,
+            targets=len(candidates.targets),
             rest_left_s=self.targets.asked.rest_left_s(target, now),
             now=now,
         )
@@ -296,29 +306,29 @@
 
     def on_marks(self, now: float) -> None:
         """Refuse those who wait and are now known to end targets."""
-        for service in self._queues.services():
-            for number in self._queues.of(service).gate.numbers():
-                exchange = self._open.get(number)
+        for service in self._queues.list_waiting_services():
+            for number in self._queues.get(service).gate.numbers():
+                exchange = self._open_exchanges.get(number)
                 if exchange is not None:
-                    self.ends.hold_back(exchange, now)
+                    self.ends.reject_if_quarantined(exchange, now)
 
-    def send_again(self, exchange: exchange_lib.Exchange) -> None:
+    def retry(self, exchange: exchange_lib.Exchange) -> None:
         """Send a request to another target if the budget allows."""
         now = self.now()
         if self._outages.of(exchange.service).lasts(now):
             # Another target would refuse it as well.
-            exchange.give_up(Code.TARGETS_REFUSED)
+            exchange.fail(Code.TARGETS_REFUSED)
             return
-        targets = self.targets.of(exchange.service, now)
-        reach = self._reach(exchange.service, targets, now)
-        self._send_once_more(exchange, reach, now)
+        targets = self.targets.list_available(exchange.service, now)
+        candidates = self._find_candidates(exchange.service, targets, now)
+        self._send_within_budget(exchange, candidates, now)
 
     @property
     def has_work(self) -> bool:
         """Whether ``tick`` has something to do: who waits, passes seen."""
-        if len(self._early) or self._queues.services():
+        if len(self._early_requests) or self._queues.list_waiting_services():
             return True
-        return bool(self.passes.limits.due())
+        return bool(self.pass_monitor.limits.due())
 
     def tick(self) -> None:
         """Let time pass: give places to those who wait, refuse the late.
@@ -326,73 +336,77 @@
         Due within TICK_SECONDS of an ``on_work``, and as long as ``has_work``.
         """
         now = self.now()
-        self.passes.tick(now)
-        if len(self._early):
-            self._early.release(
-                now, accept=self._accept_early, refuse=self._refuse_early
+        self.pass_monitor.tick(now)
+        if len(self._early_requests):
+            self._early_requests.release(
+                now, accept=self._accept_early, refuse=self._reject_early
             )
-        for service in self._queues.services():
+        for service in self._queues.list_waiting_services():
             self._serve_queue(service, now)
-        self._queues.tell(now)
+        self._queues.publish(now)
 
     def _serve_queue(self, service: str, now: float) -> None:
         """Send those who get a place, refuse those who have waited enough."""
-        gate = self._queues.of(service).gate
-        targets = self.targets.of(service, now)
-        reach = self._reach(service, targets, now)
-        starts = self._starting.lasts(now)
-        given = self._queues.given(service, reach, now, starts=starts)
+        gate = self._queues.get(service).gate
+        targets = self.targets.list_available(service, now)
+        candidates = self._find_candidates(service, targets, now)
+        starts = self._startup_grace.is_active(now)
+        given = self._queues.count_admissible(
+            service, candidates, now, starts=starts
+        )
         # In an overload without a start, room for those in time costs those who
         # are late more refusals than it brings.
         yielding = given.yielding if starts else None
         for number in gate.admit(given.total, now, yielding=yielding):
-            exchange = self._open.get(number)
+            exchange = self._open_exchanges.get(number)
             if exchange is not None:
-                self._send_once_more(exchange, reach, now)
+                self._send_within_budget(exchange, candidates, now)
         for number in gate.expire(now):
-            exchange = self._open.get(number)
+            exchange = self._open_exchanges.get(number)
             if exchange is not None:
-                exchange.give_up(Code.OVERLOADED)
+                exchange.fail(Code.OVERLOADED)
 
-    def _send_once_more(
+    def _send_within_budget(
         self,
         exchange: exchange_lib.Exchange,
-        reach: places_lib.Reach,
+        candidates: capacity_lib.Candidates,
         now: float,
     ) -> None:
-        arrived = exchange.life.arrivals > 0
+        arrived = exchange.life.deliveries > 0
         if arrived and not self._take_retry(exchange.service, now):
-            exchange.give_up(Code.TARGETS_REFUSED)
+            exchange.fail(Code.TARGETS_REFUSED)
             return
-        self._send(exchange, reach, now)
+        self._choose_and_send(exchange, candidates, now)
 
     def _take_retry(self, service: str, now: float) -> bool:
-        taken = self._budget.take(service, self.places.entries, now)
-        self._record.retry(taken=taken)
+        taken = self._budget.take(service, self.capacity.entry_count, now)
+        self._recorder.record_retry(taken=taken)
         return taken
 
     def on_paces(self, paces: dict[str, float], now: float) -> None:
         """Take in which targets, by address, are slow; streams leave them."""
         self.balancer.on_paces(paces, now)
-        for exchange in stragglers.leaving(
-            self._open.values(), self.balancer, self._directory, now
+        for exchange in stragglers.find_streams_to_move(
+            self._open_exchanges.values(), self.balancer, self._directory, now
         ):
-            self._move(exchange, now)
+            self._move_stream(exchange, now)
 
-    def _move(self, exchange: exchange_lib.Exchange, now: float) -> None:
-        targets = self.targets.of(exchange.service, now)
-        reach = self._reach(exchange.service, targets, now)
-        if reach.places < 1 or not self._take_retry(exchange.service, now):
+    def _move_stream(self, exchange: exchange_lib.Exchange, now: float) -> None:
+        targets = self.targets.list_available(exchange.service, now)
+        candidates = self._find_candidates(exchange.service, targets, now)
+        if candidates.free_slots < 1 or not self._take_retry(
+            exchange.service, now
+        ):
             return
-        self._record.moved(exchange)
+        self._recorder.record_move(exchange)
         exchange.leave_target()
-        self._send(exchange, reach, now)
+        self._choose_and_send(exchange, candidates, now)
 
     # Other entries.
 
     def on_entries(self, entries: tuple[records.Node, ...]) -> None:
         """Take in the entries that there are, this one included."""
-        self.places.entries = max(len(entries), 1)
+        self.capacity.entry_count = max(len(entries), 1)
         self.neighbours.on_entries(entries)
         names = (entry.name for entry in entries)
         self.targets.asked.shares.on_entries(names, self.now())
@@ -413,31 +427,33 @@
         now = self.now()
         self.pool.tidy()
         self.targets.tidy(now)
-        self._record.asking(self.targets.asked.counts(now))
+        self._recorder.record_signal_counts(self.targets.asked.counts(now))
 
     # Ends.
 
-    def closed(self, exchange: exchange_lib.Exchange, outcome: str) -> None:
+    def on_finished(
+        self, exchange: exchange_lib.Exchange, outcome: str
+    ) -> None:
         """Forget a request that has ended, and record what became of it."""
-        self._open.pop(exchange.number, None)
-        if self._queues.withdraw(exchange):
+        self._open_exchanges.pop(exchange.number, None)
+        if self._queues.remove(exchange):
             # The other entries are told that it waits no more.
             self.on_work()
-        self._record.ended(
-            exchange, outcome, version=self._version, now=self.now()
+        self._recorder.record_end(
+            exchange, outcome, version=self._config_version, now=self.now()
         )
 
     @property
-    def _version(self) -> int:
+    def _config_version(self) -> int:
         """Configuration version in force, 0 before the first."""
         return self.index.deployment.version if self.index else 0
 
-    def note_pause(self, service: str, seconds: float) -> None:
+    def record_pause(self, service: str, seconds: float) -> None:
         """Note the pause between two events of a stream."""
-        if self.passes.limits.on_pause(service, seconds):
+        if self.pass_monitor.limits.on_pause(service, seconds):
             self.on_work()
 
-    def refuse(self, exchange: exchange_lib.Exchange, code: Code) -> None:
+    def reject(self, exchange: exchange_lib.Exchange, code: Code) -> None:
         """Answer a request by a result code, with when to come back."""
         now = self.now()
         self._refusals.refuse(
@@ -446,16 +462,18 @@
             code,
             now,
             outage=self._outages.of(exchange.service).lasts(now),
-            foreseen_s=exchange.life.foreseen_s,
-            held_s=self.ends.verdict(exchange, now).held_s,
+            foreseen_s=exchange.life.expected_wait_s,
+            held_s=self.ends.find_verdict(exchange, now).held_s,
         )
 
-    def _turn_away(
+    def _turn_away_request(
         self,
         answering: http_server.Answering,
         ask: dialect_lib.Ask | None,
         code: Code,
         detail: str,
     ) -> None:
-        self._record.turned_away(ask, code, detail, self._version)
+        self._recorder.record_turned_away(
+            ask, code, detail, self._config_version
+        )
         self._refusals.refuse(answering, ask, code, self.now())
--- a/jasperweir/components/forward/life.py
+++ b/jasperweir/components/forward/life.py
@@ -26,25 +26,25 @@
     UNKNOWN = "unknown"
 
 
-class SendAgain(NamedTuple):
+class Retry(NamedTuple):
     """Verdict: choose another target, if the retry budget allows."""
 
     resume_after: str
 
 
-class GiveUp(NamedTuple):
+class Fail(NamedTuple):
     """Verdict: the caller gets this result code as its answer."""
 
     code: Code
 
 
-class BreakOff(NamedTuple):
+class Abort(NamedTuple):
     """Verdict: the answer that has begun cannot be completed."""
 
     reason: str
 
 
-Verdict = SendAgain | GiveUp | BreakOff
+Decision = Retry | Fail | Abort
 
 
 class Life:
@@ -93,17 +93,17 @@
         patience = ask.patience_s
         if patience is None:
             patience = const.DEFAULT_DEADLINE_SECONDS
-        self.caller_ends = now + patience
-        self.ends = now + min(patience, match.route.timeout_s)
-        self.sends = 0
-        self.arrivals = 0
-        self.misses = 0
-        self.tried: set[str] = set()
+        self.caller_deadline = now + patience
+        self.deadline = now + min(patience, match.route.timeout_s)
+        self.attempts = 0
+        self.deliveries = 0
+        self.undelivered = 0
+        self.tried_target_ids: set[str] = set()
         self.may_have_run = False
-        self.started = False
-        self.last_event = ask.resume_after
-        self.foreseen_s = 0.0
-        self.kept_until = float("-inf")
+        self.response_started = False
+        self.last_event_id = ask.resume_after
+        self.expected_wait_s = 0.0
+        self.startup_deadline = float("-inf")
 
     @property
     def is_stream(self) -> bool:
@@ -127,25 +127,25 @@
         return self.is_resumed or self.asked_at < self.arrived
 
     @property
-    def may_move(self) -> bool:
+    def can_move(self) -> bool:
         """Whether it may be stopped and go on at another target."""
         route = self.match.route
         if not self.is_stream or not route.resumable:
             return False
-        return 0 < self.sends < route.max_attempts
+        return 0 < self.attempts < route.max_attempts
 
     @property
-    def most_wait_s(self) -> float:
+    def max_wait_s(self) -> float:
         """Longest time that a first try waits for a place, seconds."""
         return min(
             balance_const.WAIT_SHARE * self.match.route.target_s,
-            balance_const.WAIT_MOST_SHARE * self.remaining(self.arrived),
+            balance_const.WAIT_MOST_SHARE * self.remaining_s(self.arrived),
         )
 
     def expect_wait(self, seconds: float) -> bool:
         """Note when a place is expected; False if that is too late to wait."""
-        self.foreseen_s = seconds
-        return self.is_last_try or seconds <= self.most_wait_s
+        self.expected_wait_s = seconds
+        return self.is_last_try or seconds <= self.max_wait_s
 
     @property
     def waits_until(self) -> float:
@@ -155,81 +155,81 @@
         if self.is_resumed:
             wait = balance_const.RESUMED_WAIT_SECONDS
         elif self.is_last_try:
-            left = self.remaining(self.arrived)
+            left = self.remaining_s(self.arrived)
             wait = min(
                 balance_const.RETURNED_WAIT_SHARE * target_s,
                 balance_const.RETURNED_WAIT_MOST_SHARE * left,
             )
         else:
-            usual_s = balance_const.FORECAST_FACTOR * self.foreseen_s
-            wait = min(self.most_wait_s, max(usual_s, least_s))
-        return max(self.arrived + wait, self.kept_until)
+            usual_s = balance_const.FORECAST_FACTOR * self.expected_wait_s
+            wait = min(self.max_wait_s, max(usual_s, least_s))
+        return max(self.arrived + wait, self.startup_deadline)
 
-    def remaining(self, now: float) -> float:
+    def remaining_s(self, now: float) -> float:
         """Return the seconds that are left for an answer."""
-        return self.ends - now
+        return self.deadline - now
 
-    def sent(self, target_id: str) -> None:
+    def on_sent(self, target_id: str) -> None:
         """Note that bytes of the request go to a target."""
-        self.sends += 1
-        self.arrivals += 1
-        self.tried.add(target_id)
+        self.attempts += 1
+        self.deliveries += 1
+        self.tried_target_ids.add(target_id)
 
-    def moved(self) -> None:
+    def on_moved(self) -> None:
         """Note that its target was told to stop."""
         self.may_have_run = True
 
-    def on_barred(self, target_id: str) -> Verdict:
+    def on_target_unavailable(self, target_id: str) -> Decision:
         """Judge a request whose target wants no more before it was sent."""
-        self.tried.add(target_id)
-        return SendAgain(resume_after=self.last_event)
+        self.tried_target_ids.add(target_id)
+        return Retry(resume_after=self.last_event_id)
 
-    def on_fault(self, target_id: str, fault: Fault, now: float) -> Verdict:
+    def on_fault(self, target_id: str, fault: Fault, now: float) -> Decision:
         """Judge a send that brought no whole answer."""
-        self.tried.add(target_id)
+        self.tried_target_ids.add(target_id)
         match fault:
             case Fault.UNSENT:
-                self.misses += 1
+                self.undelivered += 1
             case Fault.REPLACED:
                 # It has not reached the target that was meant.
-                self.sends -= 1
-                self.misses += 1
+                self.attempts -= 1
+                self.undelivered += 1
             case Fault.UNKNOWN:
                 self.may_have_run = True
                 if not self.match.route.idempotent:
-                    return self.give_up(Code.BROKEN_OFF)
-        if self.misses >= const.MISSES_MAX:
-            return self.give_up(Code.NO_TARGET)
-        if self.sends >= self.match.route.max_attempts:
-            return self.give_up(Code.TARGETS_REFUSED)
-        if self.remaining(now) < const.RETRY_LEAST_SECONDS:
-            return self.give_up(Code.DEADLINE_PASSED)
-        if self.started and not self.match.route.resumable:
-            return self.give_up(Code.BROKEN_OFF)
-        return SendAgain(resume_after=self.last_event)
-
-    def give_up(self, code: Code) -> Verdict:
+                    return self.fail(Code.BROKEN_OFF)
+        if self.undelivered >= const.MAX_UNDELIVERED:
+            return self.fail(Code.NO_TARGET)
+        if self.attempts >= self.match.route.max_attempts:
+            return self.fail(Code.TARGETS_REFUSED)
+        if self.remaining_s(now) < const.MIN_ATTEMPT_SECONDS:
+            return self.fail(Code.DEADLINE_PASSED)
+        if self.response_started and not self.match.route.resumable:
+            return self.fail(Code.BROKEN_OFF)
+        return Retry(resume_after=self.last_event_id)
+
+    def fail(self, code: Code) -> Decision:
         """Return the final answer of a request that is given up.
 
         A code that says "not run" turns into one that leaves it open as soon
         as a target may have run the request.
         """
-        if self.started:
-            return BreakOff(reason=code.name.lower())
+        if self.response_started:
+            return Abort(reason=code.name.lower())
         outcome = result_codes.TABLE[code].outcome
         if self.may_have_run and outcome is result_codes.Outcome.NOT_RUN:
-            return GiveUp(code=Code.BROKEN_OFF)
-        return GiveUp(code=code)
+            return Fail(code=Code.BROKEN_OFF)
+        return Fail(code=code)
 
-    def on_time_up(self, at_target: bool) -> Verdict:
+    def on_timeout(self, at_target: bool) -> Decision:
         """Judge a request whose time is up."""
         if at_target:
             self.may_have_run = True
         if self.may_have_run:
-            return self.give_up(Code.DEADLINE_PASSED)
-        return self.give_up(Code.OVERLOADED)
+            return self.fail(Code.DEADLINE_PASSED)
+        return self.fail(Code.OVERLOADED)
 
-    def judge_head(
+    def classify_response(
         self, status: int, head: dialect_lib.TargetHead
     ) -> Fault | None:
         """Return the fault that an answer's head shows, or None.
@@ -245,13 +245,13 @@
                 return Fault.UNKNOWN
             return None
         if status >= 500 and self.match.route.idempotent:
-            if self.sends < self.match.route.max_attempts:
+            if self.attempts < self.match.route.max_attempts:
                 return Fault.UNKNOWN
-        if status in _PROMISES:
+        if status in _NOT_RUN_STATUSES:
             # Only the target's own statement makes "not run" true.
             return Fault.UNKNOWN
         return None
 
 
 # Statuses by which a caller is told that its request has not run.
-_PROMISES = (408, 421, 429, 503)
+_NOT_RUN_STATUSES = (408, 421, 429, 503)
--- a/jasperweir/components/forward/matching.py
+++ b/jasperweir/components/forward/matching.py
@@ -17,7 +17,7 @@
     detail: str
 
 
-def find(
+def match_request(
     index: index_lib.Index, req: http_message.Request, ask: dialect_lib.Ask
 ) -> index_lib.Match | Denial:
     """Return the route and customer of a request, or why it has none."""
--- a/jasperweir/components/forward/notes.py
+++ b/jasperweir/components/forward/notes.py
@@ -9,12 +9,12 @@
 from jasperweir.components.balance import const
 from jasperweir.components.balance import outage as outage_lib
 from jasperweir.components.directory import records
+from jasperweir.components.forward import available_targets
 from jasperweir.components.forward import exchange as exchange_lib
 from jasperweir.components.forward import life as life_lib
 from jasperweir.components.forward import queues as queues_lib
-from jasperweir.components.forward import record as record_lib
-from jasperweir.components.forward import starting as starting_lib
-from jasperweir.components.forward import targets as targets_lib
+from jasperweir.components.forward import recorder as recorder_lib
+from jasperweir.components.forward import startup_grace as startup_grace_lib
 
 
 class Notes:
@@ -29,12 +29,12 @@
         self,
         *,
         clock: core.Clock,
-        targets: targets_lib.Targets,
+        targets: available_targets.AvailableTargets,
         balancer: balancer_lib.Balancer,
         outages: outage_lib.Outages,
         queues: queues_lib.Queues,
-        record: record_lib.Recorder,
-        starting: starting_lib.Starting,
+        recorder: recorder_lib.Recorder,
+        startup_grace: startup_grace_lib.StartupGrace,
     ) -> None:
         self.on_replaced: Callable[[records.Target], None] = lambda _: None
         self.on_leaving: Callable[[records.Target], None] = lambda _: None
@@ -43,10 +43,10 @@
         self._balancer = balancer
         self._outages = outages
         self._queues = queues
-        self._record = record
-        self._starting = starting
+        self._recorder = recorder
+        self._startup_grace = startup_grace
 
-    def signals(
+    def on_signals(
         self,
         target: records.Target,
         told: signals_lib.Signals,
@@ -55,11 +55,11 @@
         """Note what a target asks with the head of an answer."""
         now = self._clock.monotonic()
         changes = self._targets.asked.on_answer(target, told, now, sent_at)
-        self._record.asks(target, told, changes)
+        self._recorder.record_signals(target, told, changes)
         if asked_lib.Change.LEAVES in changes:
             self.on_leaving(target)
 
-    def fault(
+    def on_fault(
         self,
         exchange: exchange_lib.Exchange,
         target: records.Target,
@@ -75,30 +75,32 @@
         if fault is life_lib.Fault.NOT_RUN and not rests:
             self._targets.asked.on_refused(target, now)
             needed = const.OUTAGE_REFUSALS
-            if self._starting.lasts(now):
+            if self._startup_grace.is_active(now):
                 needed = const.START_REFUSALS
             if self._outages.of(exchange.service).on_refusal(now, needed):
-                self._record.outage(exchange.service, begins=True)
+                self._recorder.record_outage(exchange.service, begins=True)
         at_target = self._balancer.count_at(target.target_id, now)
-        self._record.fault(exchange, target, fault, reason, at_target)
+        self._recorder.record_fault(exchange, target, fault, reason, at_target)
 
-    def taken(
+    def on_accepted(
         self, exchange: exchange_lib.Exchange, target: records.Target
     ) -> None:
         """Note that a target has taken a request."""
         now = self._clock.monotonic()
         if self._targets.asked.on_taken(target, now):
-            self._record.takes_again(target)
+            self._recorder.record_recovery(target)
         if self._outages.of(exchange.service).on_answer(now):
-            self._targets.on_service_back(exchange.service, now)
-            self._record.outage(exchange.service, begins=False)
+            self._targets.on_service_recovered(exchange.service, now)
+            self._recorder.record_outage(exchange.service, begins=False)
 
-    def whole(self, exchange: exchange_lib.Exchange, sent_at: float) -> None:
+    def on_completed(
+        self, exchange: exchange_lib.Exchange, sent_at: float
+    ) -> None:
         """Note that a target has answered a request in full."""
         took_s = self._clock.monotonic() - sent_at
         first_s = max(exchange.first_byte_at - sent_at, 0.0)
-        self._queues.of(exchange.service).forecast.on_end(took_s, first_s)
+        self._queues.get(exchange.service).forecast.on_end(took_s, first_s)
 
-    def time_up(self, exchange: exchange_lib.Exchange) -> None:
+    def on_timeout(self, exchange: exchange_lib.Exchange) -> None:
         """Note a request whose time is up."""
-        self._record.time_up(exchange)
+        self._recorder.record_timeout(exchange)
--- a/jasperweir/components/forward/queues.py
+++ b/jasperweir/components/forward/queues.py
@@ -10,8 +10,8 @@
 from jasperweir.components.balance import messages
 from jasperweir.components.balance import neighbours as neighbours_lib
 from jasperweir.components.balance import outage as outage_lib
+from jasperweir.components.forward import capacity as capacity_lib
 from jasperweir.components.forward import exchange as exchange_lib
-from jasperweir.components.forward import places as places_lib
 
 
 class Queue:
@@ -44,36 +44,42 @@
         self._rng = rng
         self._by_service: dict[str, Queue] = {}
 
-    def of(self, service: str) -> Queue:
+    def get(self, service: str) -> Queue:
         """Return the queue of a service."""
         return self._by_service.setdefault(service, Queue())
 
-    def services(self) -> list[str]:
+    def list_waiting_services(self) -> list[str]:
         """Return the services for which any request waits."""
         return [name for name, q in self._by_service.items() if len(q.gate)]
 
-    def foreseen_s(
-        self, service: str, reach: places_lib.Reach, running: int, now: float
+    def estimate_wait_s(
+        self,
+        service: str,
+        candidates: capacity_lib.Candidates,
+        running: int,
+        now: float,
     ) -> float:
         """Return the seconds after which a further request gets a place.
 
         Args:
             service: Its service.
-            reach: Places that it may have; fewer than none if some must come
-                free before anybody gets one.
+            candidates: Targets that it may go to; free_slots is negative while
+                requests ahead of it need that many slots.
             running: Requests at the service's targets.
             now: Monotonic seconds.
         """
-        queue = self.of(service)
+        queue = self.get(service)
         # Who is late already waits behind it.
-        ahead = queue.gate.timely(now) - min(reach.places, 0)
+        ahead = queue.gate.timely(now) - min(candidates.free_slots, 0)
         ahead += self._balancer.queue_elsewhere(service, now).timely
         return queue.forecast.wait_s(ahead=ahead, running=running)
 
-    def wait(self, exchange: exchange_lib.Exchange, not_before: float) -> None:
+    def enqueue(
+        self, exchange: exchange_lib.Exchange, not_before: float
+    ) -> None:
         """Queue a request."""
         life = exchange.life
-        queue = self.of(exchange.service)
+        queue = self.get(exchange.service)
         queue.gate.wait(
             gate_lib.Waiting(
                 priority=life.match.priority,
@@ -85,9 +91,9 @@
             )
         )
 
-    def withdraw(self, exchange: exchange_lib.Exchange) -> bool:
+    def remove(self, exchange: exchange_lib.Exchange) -> bool:
         """Take out a request that has ended; return whether it waited."""
-        return self.of(exchange.service).gate.withdraw(exchange.number)
+        return self.get(exchange.service).gate.withdraw(exchange.number)
 
     def is_timely(self, exchange: exchange_lib.Exchange, now: float) -> bool:
         """Tell whether a request that is sent now can be in time."""
@@ -100,12 +106,12 @@
             # rest is late whenever it comes, and lost if it does not.
             return math.inf
         ends_in_time = life.asked_at + life.match.route.target_s
-        return ends_in_time - self.of(exchange.service).forecast.first_s
+        return ends_in_time - self.get(exchange.service).forecast.first_s
 
-    def given(
+    def count_admissible(
         self,
         service: str,
-        reach: places_lib.Reach,
+        candidates: capacity_lib.Candidates,
         now: float,
         *,
         starts: bool = False,
@@ -114,46 +120,47 @@
 
         Args:
             service: Their service.
-            reach: Places that they may have.
+            candidates: Places that they may have.
             now: Monotonic seconds.
             starts: Whether this entry, and the targets with it most likely, has
                 just started.
         """
-        if self._refuses(service, now, starts=starts):
+        if self._is_in_outage(service, now, starts=starts):
             probes = int(
-                reach.places >= 1 and self._probe(service, now, starts)
+                candidates.free_slots >= 1
+                and self._take_probe(service, now, starts)
             )
             return forecast_lib.Part(timely=0, late=probes, yielding=probes)
         others = self._balancer.queue_elsewhere(service, now)
         # Of entries beyond the own cell nothing is known but their number.
         known = 1 + len(self._neighbours.peers)
-        seen = min(1.0, known / max(reach.entries, 1))
-        own = self._own(service, now)
+        seen = min(1.0, known / max(candidates.entry_count, 1))
+        own = self._summarize(service, now)
         return forecast_lib.part(
-            reach.places * seen,
+            candidates.free_slots * seen,
             own,
             others,
             self._rng,
-            late_places=reach.late * seen,
+            late_places=candidates.late_slots * seen,
         )
 
-    def _refuses(self, service: str, now: float, *, starts: bool) -> bool:
+    def _is_in_outage(self, service: str, now: float, *, starts: bool) -> bool:
         """Tell whether all targets of a service refuse at present."""
         outage = self._outages.of(service)
         return outage.lasts(now) and not (starts and outage.seems_over(now))
 
-    def _probe(self, service: str, now: float, starts: bool) -> bool:
+    def _take_probe(self, service: str, now: float, starts: bool) -> bool:
         outage = self._outages.of(service)
         if starts:
             return outage.take_probe(now, balance_const.START_PROBE_SECONDS)
         return outage.take_probe(now)
 
-    def tell(self, now: float) -> None:
+    def publish(self, now: float) -> None:
         """Let the other entries be told who waits here."""
         for service in self._by_service:
-            self._balancer.note_queue(self._own(service, now))
+            self._balancer.note_queue(self._summarize(service, now))
 
-    def _own(self, service: str, now: float) -> messages.Queue:
-        gate = self.of(service).gate
+    def _summarize(self, service: str, now: float) -> messages.Queue:
+        gate = self.get(service).gate
         timely = gate.timely(now)
         return messages.Queue(service, timely, len(gate) - timely)
--- a/jasperweir/components/forward/record.py
+++ b/jasperweir/components/forward/recorder.py
@@ -23,7 +23,7 @@
     def __init__(self, *, metrics: metrics_lib.Metrics) -> None:
         self._metrics = metrics
 
-    def chosen(
+    def record_choice(
         self,
         exchange: exchange_lib.Exchange,
         target: records.Target,
@@ -58,10 +58,10 @@
             targets=targets,
             rest_left_ms=round(rest_left_s * 1000),
             waited_ms=round((now - life.arrived) * 1000),
-            sends=life.sends,
+            sends=life.attempts,
         )
 
-    def waits(self, exchange: exchange_lib.Exchange, now: float) -> None:
+    def record_wait(self, exchange: exchange_lib.Exchange, now: float) -> None:
         """Record that a request waits for a place or for its targets."""
         life = exchange.life
         self._metrics.inc("waits", last_try=str(life.is_last_try).lower())
@@ -69,13 +69,13 @@
             "request waits",
             id=life.ask.request_id,
             service=exchange.service,
-            sends=life.sends,
+            sends=life.attempts,
             used_ms=round((life.arrived - life.asked_at) * 1000),
-            foreseen_ms=round(life.foreseen_s * 1000),
+            foreseen_ms=round(life.expected_wait_s * 1000),
             until_ms=round((life.waits_until - now) * 1000),
         )
 
-    def kept(self, ask: dialect_lib.Ask, seconds: float) -> None:
+    def record_buffered(self, ask: dialect_lib.Ask, seconds: float) -> None:
         """Record that a request waits for a configuration."""
         self._metrics.inc("kept_without_configuration")
         _log.info(
@@ -84,7 +84,7 @@
             until_ms=round(seconds * 1000),
         )
 
-    def full(
+    def record_saturation(
         self,
         service: str,
         *,
@@ -112,12 +112,12 @@
             limit=round(most, 2) if math.isfinite(most) else None,
         )
 
-    def passes(self, service: str, pass_s: float, streams: float) -> None:
+    def record_pass(self, service: str, pass_s: float, streams: float) -> None:
         """Show the time of a pass and the streams that made it."""
         self._metrics.gauge("pass_seconds", pass_s, service=service)
         self._metrics.gauge("streams_per_target", streams, service=service)
 
-    def outage(self, service: str, *, begins: bool) -> None:
+    def record_outage(self, service: str, *, begins: bool) -> None:
         """Record that all targets of a service refuse, or no longer do."""
         if begins:
             self._metrics.inc("outages", service=service)
@@ -126,11 +126,11 @@
             service=service,
         )
 
-    def retry(self, *, taken: bool) -> None:
+    def record_retry(self, *, taken: bool) -> None:
         """Count a second send that the budget allowed or denied."""
         self._metrics.inc("retries" if taken else "retries_denied")
 
-    def ended(
+    def record_end(
         self,
         exchange: exchange_lib.Exchange,
         outcome: str,
@@ -154,18 +154,18 @@
             customer=life.customer_name,
             service=exchange.service,
             target=exchange.target_id,
-            sends=life.sends,
+            sends=life.attempts,
             outcome=outcome,
             version=version,
             first_ms=round((first - life.arrived) * 1000) if first else -1,
-            gap_ms=round(exchange.longest_gap * 1000),
+            gap_ms=round(exchange.longest_gap_s * 1000),
             total_ms=round((now - life.arrived) * 1000),
             used_ms=round((life.arrived - life.asked_at) * 1000),
             target_ms=round(life.match.route.target_s * 1000),
             gap_target_ms=round(life.match.route.gap_s * 1000),
         )
 
-    def fault(
+    def record_fault(
         self,
         exchange: exchange_lib.Exchange,
         target: records.Target,
@@ -185,7 +185,7 @@
             open=at_target,
         )
 
-    def asks(
+    def record_signals(
         self,
         target: records.Target,
         told: signals_lib.Signals,
@@ -203,7 +203,7 @@
                 unreadable=list(told.unreadable),
             )
 
-    def takes_again(self, target: records.Target) -> None:
+    def record_recovery(self, target: records.Target) -> None:
         """Record that a target takes requests after a rest."""
         _log.info(
             "target takes requests again",
@@ -211,12 +211,12 @@
             address=target.address,
         )
 
-    def asking(self, counts: dict[str, int]) -> None:
+    def record_signal_counts(self, counts: dict[str, int]) -> None:
         """Show how many targets ask for what."""
         for signal, count in counts.items():
             self._metrics.gauge("targets_asking", float(count), signal=signal)
 
-    def checked(self, case: suspects_lib.Case, sign: str) -> None:
+    def record_probe(self, case: suspects_lib.Case, sign: str) -> None:
         """Record whether a target whose connections broke still listens.
 
         Args:
@@ -235,7 +235,7 @@
             },
         )
 
-    def held_back(
+    def record_quarantined(
         self, exchange: exchange_lib.Exchange, verdict: ledger_lib.Verdict
     ) -> None:
         """Record a request that is kept from targets."""
@@ -245,10 +245,10 @@
             id=exchange.life.ask.request_id,
             ends=verdict.ends,
             held_s=round(verdict.held_s),
-            sends=exchange.life.sends,
+            sends=exchange.life.attempts,
         )
 
-    def moved(
+    def record_move(
         self,
         exchange: exchange_lib.Exchange,
     ) -> None:
@@ -258,19 +258,19 @@
             "stream leaves target",
             id=exchange.life.ask.request_id,
             target=exchange.target_id,
-            last_event=exchange.life.last_event,
+            last_event=exchange.life.last_event_id,
         )
 
-    def time_up(self, exchange: exchange_lib.Exchange) -> None:
+    def record_timeout(self, exchange: exchange_lib.Exchange) -> None:
         """Record a request whose time is up."""
         _log.info(
             "time is up",
             id=exchange.life.ask.request_id,
             target=exchange.target_id,
-            sends=exchange.life.sends,
+            sends=exchange.life.attempts,
         )
 
-    def turned_away(
+    def record_turned_away(
         self,
         ask: dialect_lib.Ask | None,
         code: result_codes.Code,
--- a/jasperweir/components/forward/refusals.py
+++ b/jasperweir/components/forward/refusals.py
@@ -45,13 +45,13 @@
         headers = self._dialect.own_headers(ask)
         headers.append((b"jasperweir-code", b"%d" % int(code)))
         if row.http == 503:
-            back_s = held_s or self._back_after(
+            back_s = held_s or self._compute_retry_after_s(
                 code, now, outage=outage, foreseen_s=foreseen_s
             )
             headers.append((b"retry-after", b"%.3f" % back_s))
         answering.reply(row.http, headers, b"")
 
-    def _back_after(
+    def _compute_retry_after_s(
         self, code: Code, now: float, *, outage: bool, foreseen_s: float
     ) -> float:
         if code is Code.NOT_READY:
--- a/jasperweir/components/forward/starting.py
+++ b/jasperweir/components/forward/startup_grace.py
@@ -9,7 +9,7 @@
 from jasperweir.components.balance import const
 
 
-class Starting:
+class StartupGrace:
     """What an entry may expect of itself soon after its start."""
 
     def __init__(self, *, started_at: float) -> None:
@@ -20,11 +20,11 @@
         """
         self._started_at = started_at
 
-    def lasts(self, now: float) -> bool:
+    def is_active(self, now: float) -> bool:
         """Tell whether what the entry lacks is about to come."""
         return now - self._started_at < const.START_SECONDS
 
-    def kept_until(self, now: float, patience_s: float | None) -> float:
+    def compute_deadline(self, now: float, patience_s: float | None) -> float:
         """Return until when a request that arrives now may be kept.
 
         Args:
@@ -36,7 +36,7 @@
             Monotonic seconds; ``now`` if it is to be refused at once, since
             what is missing is not about to come.
         """
-        if not self.lasts(now):
+        if not self.is_active(now):
             return now
         wait_s = const.START_WAIT_SECONDS
         if patience_s is not None:
--- a/jasperweir/components/forward/stragglers.py
+++ b/jasperweir/components/forward/stragglers.py
@@ -12,7 +12,7 @@
 from jasperweir.components.forward import exchange as exchange_lib
 
 
-def leaving(
+def find_streams_to_move(
     exchanges: Iterable[exchange_lib.Exchange],
     balancer: balancer_lib.Balancer,
     directory: directory_lib.Directory,
@@ -22,7 +22,7 @@
     out = []
     for exchange in exchanges:
         target = directory.get(exchange.target_id)
-        if target is None or not exchange.may_move:
+        if target is None or not exchange.can_move:
             continue
         if balancer.pace_of(target, now) >= const.MOVE_PACE:
             out.append(exchange)
--- a/jasperweir/daemons/site_entry.py
+++ b/jasperweir/daemons/site_entry.py
@@ -239,7 +239,7 @@
         deployment = self._dialect.deployment(zlib.decompress(act.data))
         index = index_lib.Index(deployment=deployment)
         self._forwarder.index = index
-        self._forwarder.passes.limits.on_bounds(index.passes())
+        self._forwarder.pass_monitor.limits.on_bounds(index.passes())
         limits = deployment.limits
         if self._server is not None:
             self._server.limits = http_server.ServerLimits(*limits)
--- a/script/guards_backpressure.py
+++ b/script/guards_backpressure.py
@@ -14,29 +14,34 @@
           "        if asked.leaves:\n            return math.inf\n", "",
           "backpressure"),
     Guard("a last look before a request is written", F + "exchange.py",
-          "if self._owner.targets.asked.bars(self._target, now):",
+          "if self._forwarder.targets.asked.bars(self._target, now):",
           "if False:", "backpressure"),
     Guard("after a rest one request goes first", B + "state.py",
           "        return now - self.trial_at < const.TRIAL_SECONDS\n",
           "        return False\n", "backpressure"),
     Guard("each choice looks again", F + "forwarder.py",
-          "self.targets.still_open(reach.targets, exchange.service, now)",
-          "reach.targets", "backpressure"),
+          "near = self.targets.filter_available(\n"
+          "            candidates.targets, exchange.service, now\n"
+          "        )",
+          "near = candidates.targets", "backpressure"),
     Guard("a stream does not leave for a target that rests",
           F + "forwarder.py",
-          "        targets = self.targets.of(exchange.service, now)\n"
-          "        reach = self._reach(exchange.service, targets, now)\n"
-          "        if reach.places < 1 or",
+          "        targets = self.targets.list_available("
+          "exchange.service, now)\n"
+          "        candidates = self._find_candidates("
+          "exchange.service, targets, now)\n"
+          "        if candidates.free_slots < 1 or",
           "        targets = self._directory.serving(exchange.service, now)\n"
-          "        reach = self._reach(exchange.service, targets, now)\n"
-          "        if reach.places < 1 or", "backpressure"),
+          "        candidates = self._find_candidates("
+          "exchange.service, targets, now)\n"
+          "        if candidates.free_slots < 1 or", "backpressure"),
     Guard("who waits gets no place at a target that rests",
           F + "forwarder.py",
-          "        targets = self.targets.of(service, now)\n"
-          "        reach = self._reach(service, targets, now)\n"
+          "        targets = self.targets.list_available(service, now)\n"
+          "        candidates = self._find_candidates(service, targets, now)\n"
           "        starts",
           "        targets = self._directory.serving(service, now)\n"
-          "        reach = self._reach(service, targets, now)\n"
+          "        candidates = self._find_candidates(service, targets, now)\n"
           "        starts", "backpressure"),
     Guard("a refusal with a rest is no outage", F + "notes.py",
           "if fault is life_lib.Fault.NOT_RUN and not rests:",
@@ -46,7 +51,7 @@
           "        self.avoided_until = now - min(", "backpressure"),
     Guard("all are tried if all refuse", B + "asked.py",
           "return fit or found", "return fit", "backpressure"),
-    Guard("no target is avoided in an outage", F + "targets.py",
+    Guard("no target is avoided in an outage", F + "available_targets.py",
           "if self._outages.of(service).lasts(now):", "if False:",
           "backpressure"),
     Guard("others hear who refuses", F + "forwarder.py",
