--- a/jasperweir/components/forward/__init__.py
+++ b/jasperweir/components/forward/__init__.py
@@ -1,1 +1,1 @@
-"""The way of one request: admitted, sent, retried, answered."""
+"""Forwarding of one request: admission, sends, retries and the response."""
--- a/jasperweir/components/forward/admission.py
+++ b/jasperweir/components/forward/admission.py
@@ -1,4 +1,4 @@
-"""Who may go to a target at once, and who may wait for one."""
+"""Policy on which requests are sent, queued or rejected."""
 
 from collections.abc import Callable
 import math
@@ -18,11 +18,12 @@
 
 
 class AdmissionPolicy:
-    """Let requests of one entry wait as long as that helps them.
+    """Decides whether a request is sent at once, queued or rejected.
 
     Attributes:
-        stopping: Whether nobody may begin to wait any more.
-        on_work: Called when somebody waits.
+        stopping: Whether requests without an available target are rejected
+            instead of queued.
+        on_work: Called when a request is queued.
     """
 
     def __init__(
@@ -50,11 +51,11 @@
         candidates: capacity_lib.Candidates,
         now: float,
     ) -> bool:
-        """Tell whether a request that has just come passes those who wait."""
+        """Return whether a new request may be sent before queued ones."""
         if candidates.free_slots < 1:
             return False
         if self._outages.of(exchange.service).lasts(now):
-            # Those who come first show whether it has ended.
+            # The first requests serve as probes for the end of the outage.
             return True
         gate = self._queues.get(exchange.service).gate
         if self._queues.is_timely(exchange, now):
@@ -72,12 +73,12 @@
         running: int,
         now: float,
     ) -> None:
-        """Let a request wait for a free place, or refuse it at once.
+        """Queue a request for a slot, or reject it if the wait is too long.
 
         Args:
             exchange: The request.
-            candidates: Places that it may have.
-            running: Requests at the service's targets.
+            candidates: Targets that it may be sent to.
+            running: Number of requests that run at the service's targets.
             now: Monotonic seconds.
         """
         wait_s = self._queues.estimate_wait_s(
@@ -89,7 +90,11 @@
         self._enqueue(exchange, now, now)
 
     def wait_for_targets(self, exchange: exchange_lib.Exchange) -> bool:
-        """Let a request wait that targets refused, if it has the time."""
+        """Queue a request that targets refused, if there is time for a retry.
+
+        Returns:
+            Whether the request was queued.
+        """
         if self._wait_during_startup(exchange):
             return True
         now = self._clock.monotonic()
@@ -106,7 +111,7 @@
     def wait_for_available_target(
         self, exchange: exchange_lib.Exchange, now: float
     ) -> None:
-        """Let a request wait until a target wants it, or refuse it at once."""
+        """Queue a request until a target is available, or reject it."""
         life = exchange.life
         ahead = len(self._queues.get(exchange.service).gate)
         opens_s = self._targets.seconds_until_available(
@@ -126,10 +131,13 @@
         self._enqueue(exchange, now, now + opens_s)
 
     def _wait_during_startup(self, exchange: exchange_lib.Exchange) -> bool:
-        """Let a request wait for targets that are about to be there.
+        """Queue a request if this entry has just started.
+
+        After a power loss targets refuse requests while their groups form, and
+        rejected callers would all return together.
 
-        After a loss of all power targets refuse while their groups form. Who is
-        refused meanwhile comes back together with everybody else.
+        Returns:
+            Whether the request was queued.
         """
         now = self._clock.monotonic()
         life = exchange.life
--- a/jasperweir/components/forward/available_targets.py
+++ b/jasperweir/components/forward/available_targets.py
@@ -1,4 +1,4 @@
-"""Which targets of a service want requests now."""
+"""Targets of a service that accept requests now."""
 
 from jasperweir.components.backpressure import asked as asked_lib
 from jasperweir.components.balance import outage as outage_lib
@@ -7,13 +7,13 @@
 
 
 class AvailableTargets:
-    """Targets that are announced, less those that want nothing.
+    """Announced targets, filtered by backpressure.
 
-    Each choice begins here: of first requests, second ones, waiting ones and
-    streams that leave a slow target.
+    Used for every choice of a target: first attempts, retries, queued requests
+    and streams that move.
 
     Attributes:
-        asked: What targets have asked of this entry.
+        asked: Backpressure state of all targets.
     """
 
     def __init__(
@@ -23,11 +23,11 @@
         outages: outage_lib.Outages,
         name: str,
     ) -> None:
-        """Begin with nothing asked.
+        """Initialize without backpressure.
 
         Args:
-            directory: Targets that are announced.
-            outages: Services that refuse everything at present.
+            directory: Announced targets.
+            outages: Services whose targets all refuse requests.
             name: Name of this entry.
         """
         self.asked = asked_lib.Backpressure(name=name)
@@ -35,17 +35,18 @@
         self._outages = outages
 
     def list_available(self, service: str, now: float) -> list[records.Target]:
-        """Return the targets of a service that want requests."""
+        """Return the targets of a service that accept requests."""
         announced = self._directory.serving(service, now)
         return self.filter_available(announced, service, now)
 
     def filter_available(
         self, targets: list[records.Target], service: str, now: float
     ) -> list[records.Target]:
-        """Return those of some targets of a service that want requests.
+        """Return the given targets of a service that accept requests.
 
-        In an outage all refuse, and none is avoided for it: those that were not
-        asked yet would seem full, and requests wait for them in vain.
+        During an outage, refusals do not exclude a target. Otherwise targets
+        that were not tried yet would appear full, and requests would queue for
+        them in vain.
         """
         if self._outages.of(service).lasts(now):
             return self.asked.unbarred(targets, now)
@@ -54,25 +55,25 @@
     def seconds_until_available(
         self, service: str, tried: set[str], ahead: int, now: float
     ) -> float:
-        """Return the seconds until one that was not tried wants requests.
+        """Return the seconds until an untried target accepts requests.
 
         Args:
-            service: Their service.
-            tried: Targets that are out of question.
-            ahead: Requests that wait for the same.
+            service: Service of the targets.
+            tried: Ids of targets to exclude.
+            ahead: Number of requests that wait for the same targets.
             now: Monotonic seconds.
 
         Returns:
-            Infinity if none of them is announced.
+            Infinity if no untried target is announced.
         """
         announced = self._directory.serving(service, now)
         untried = [t for t in announced if t.target_id not in tried]
         return self.asked.opens_in_s(untried, now, ahead)
 
     def on_service_recovered(self, service: str, now: float) -> None:
-        """Note that a service that refused everything takes requests again."""
+        """Clear the refusals of a service's targets after an outage."""
         self.asked.forgive(self._directory.serving(service, now))
 
     def tidy(self, now: float) -> None:
-        """Forget what nobody needs any more."""
+        """Drop expired state and state of targets that are gone."""
         self.asked.tidy(self._directory.get, now)
--- a/jasperweir/components/forward/capacity.py
+++ b/jasperweir/components/forward/capacity.py
@@ -1,4 +1,4 @@
-"""Where a request may go now, and how many places are free there."""
+"""Free slots at targets, nearby ones first."""
 
 import math
 import random
@@ -12,14 +12,15 @@
 
 
 class Candidates(NamedTuple):
-    """Targets that a request may go to now.
+    """Targets that a request may be sent to now.
 
     Attributes:
         targets: The targets.
-        places: Free places there.
-        late: How many of them are for requests that are late already and leave
-            room for others.
-        entries: How many entries, this one included, see those places.
+        free_slots: Free slots at these targets; negative if overloaded.
+        late_slots: Number of the free slots that late requests may use; the
+            others stay free for timely ones.
+        entry_count: Number of entries that share these slots, this one
+            included.
     """
 
     targets: list[records.Target]
@@ -29,10 +30,10 @@
 
 
 class CapacityFinder:
-    """Look for places near this entry first, then everywhere.
+    """Finds free slots at nearby targets first, then at all targets.
 
     Attributes:
-        entries: How many entries there are in all, this one included.
+        entry_count: Number of all entries, this one included.
     """
 
     def __init__(
@@ -53,11 +54,11 @@
         limit: passes_lib.PassLimit | None,
         now: float,
     ) -> Candidates:
-        """Return the near targets while they have places, else all.
+        """Return nearby targets while they have free slots, else all targets.
 
         Args:
             targets: All targets of a service.
-            limit: Limit of streams of its group, if there is one.
+            limit: Limit on the streams of the service's group, if there is one.
             now: Monotonic seconds.
         """
         near = self._neighbours.home(targets, self._rng.random())
@@ -76,10 +77,10 @@
         limit: passes_lib.PassLimit,
         now: float,
     ) -> float:
-        """Let a limit learn from what near targets run at present.
+        """Update a limit with the number of streams at nearby targets.
 
         Returns:
-            Open requests for each near target.
+            Mean number of open requests of these targets.
         """
         near = self._neighbours.home(targets, self._rng.random())
         streams = self.count_open(near, now) / max(len(near), 1)
@@ -93,7 +94,7 @@
         entries: int,
         now: float,
     ) -> Candidates:
-        """Return the free places of some targets that so many entries see."""
+        """Return some targets with their free slots, given who shares them."""
         loads = self._balancer.loads(targets, now)
         places = loads.free
         if limit is not None and places >= 1:
@@ -111,5 +112,5 @@
         )
 
     def count_open(self, targets: list[records.Target], now: float) -> int:
-        """Return the open requests of all entries at targets."""
+        """Return the open requests of all entries at some targets."""
         return self._balancer.loads(targets, now).open
--- a/jasperweir/components/forward/dialect.py
+++ b/jasperweir/components/forward/dialect.py
@@ -1,4 +1,4 @@
-"""What forwarding must know of the protocol of callers and targets."""
+"""Protocol-specific headers of callers and targets, as typed values."""
 
 from typing import NamedTuple
 from typing import Protocol
@@ -9,15 +9,17 @@
 
 
 class Ask(NamedTuple):
-    """What a caller's request says of itself.
+    """Metadata that a caller states in its request's headers.
 
     Attributes:
-        request_id: Id of this try, chosen by the caller.
-        patience_s: How long the caller waits, seconds; None if not stated.
-        key: Customer's key, empty if there is none.
+        request_id: Id of this attempt, chosen by the caller.
+        patience_s: How long the caller waits for the response, seconds; None if
+            not stated.
+        key: Customer's API key, empty if there is none.
         prompt_tokens: Stated size of the prompt.
-        answer_tokens: Most tokens that may be generated.
-        resume_after: Id of the last event that the caller holds, or empty.
+        answer_tokens: Maximum number of tokens to generate.
+        resume_after: Id of the last event that the caller has received, or
+            empty.
     """
 
     request_id: str
@@ -29,14 +31,15 @@
 
 
 class Dispatch(NamedTuple):
-    """What we say to a target about a request.
+    """Metadata that is sent to a target with a request.
 
     Attributes:
-        target_id: Incarnation that alone may run it.
-        patience_s: Time left, seconds.
+        target_id: Id of the only target that may run the request.
+        patience_s: Time left for the response, seconds.
         priority: 0 is served first.
-        customer: Name of the key's holder, empty without keys.
-        resume_after: Id of the last event that the caller holds, or empty.
+        customer: Name of the customer that holds the key, empty without keys.
+        resume_after: Id of the last event that the caller has received, or
+            empty.
     """
 
     target_id: str
@@ -47,16 +50,17 @@
 
 
 class TargetHead(NamedTuple):
-    """What the head of a target's answer says.
+    """Metadata from the status line and headers of a target's response.
 
     Attributes:
-        request_id: Id of the request that it answers.
-        signed: Whether it bears the target's signature.
-        not_run: Whether it states that the request was not run.
-        other_target: Whether another incarnation answered at the address.
-        encoded: Whether the body is not the target's own bytes.
-        load: Load that the target states, if any.
-        signals: What the target asks of its callers.
+        request_id: Id of the request that is answered.
+        signed: Whether the target's signature is present.
+        not_run: Whether the target states that it did not run the request.
+        other_target: Whether another target responded at the address.
+        encoded: Whether the body has a content encoding, so that its bytes are
+            not the target's own.
+        load: Load that the target reports, if any.
+        signals: Backpressure signals of the target.
     """
 
     request_id: str
@@ -69,22 +73,25 @@
 
 
 class Dialect(Protocol):
-    """Translate between wire and types; decides nothing."""
+    """Translates between HTTP headers and typed values.
+
+    An implementation makes no forwarding decisions.
+    """
 
     def ask(self, req: http_message.Request) -> Ask:
-        """Read a caller's headers.
+        """Parse the headers of a caller's request.
 
         Raises:
-            ValueError: A header has no readable value.
+            ValueError: A header value is malformed.
         """
 
     def dispatch(
         self, req: http_message.Request, sent: Dispatch
     ) -> http_message.Headers:
-        """Return the headers of the request to a target."""
+        """Build the headers of the request to a target."""
 
     def target_head(self, head: http_message.Head) -> TargetHead:
-        """Read the headers of a target's answer."""
+        """Parse the head of a target's response."""
 
     def own_headers(self, ask: Ask | None) -> http_message.Headers:
-        """Return the headers that an answer of our own bears."""
+        """Build the headers of a response that the entry generates."""
--- a/jasperweir/components/forward/early_requests.py
+++ b/jasperweir/components/forward/early_requests.py
@@ -1,4 +1,4 @@
-"""Requests that came before this entry had a configuration."""
+"""Requests that arrived before the entry had a configuration."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -11,10 +11,10 @@
     """A request that waits for a configuration.
 
     Attributes:
-        answering: Way back to its caller.
-        ask: What its caller stated.
-        arrived: When it arrived, monotonic seconds.
-        until: When it is refused, monotonic seconds.
+        answering: Response channel to the caller.
+        ask: Metadata from the request's headers.
+        arrived_at: When it arrived, monotonic seconds.
+        deadline: When it is rejected, monotonic seconds.
     """
 
     answering: http_server.Answering
@@ -24,17 +24,17 @@
 
 
 class EarlyRequestBuffer:
-    """Keep requests for a moment until there are routes."""
+    """Holds requests briefly until a configuration has arrived."""
 
     def __init__(self) -> None:
         self._requests: list[EarlyRequest] = []
 
     def __len__(self) -> int:
-        """Return how many are kept."""
+        """Return the number of buffered requests."""
         return len(self._requests)
 
     def add(self, early: EarlyRequest) -> None:
-        """Keep a request."""
+        """Buffer a request."""
         self._requests.append(early)
 
     def release(
@@ -44,12 +44,12 @@
         accept: Callable[[EarlyRequest], bool],
         refuse: Callable[[EarlyRequest], None],
     ) -> None:
-        """Hand out what can go on or has waited long enough.
+        """Admit buffered requests and reject those whose deadline has passed.
 
         Args:
             now: Monotonic seconds.
-            accept: Takes a request in; False if it can't yet.
-            refuse: Turns one away that has waited long enough.
+            accept: Admits a request; returns False if it must stay buffered.
+            refuse: Rejects a request whose deadline has passed.
         """
         kept, self._requests = self._requests, []
         for early in kept:
--- a/jasperweir/components/forward/end_watch.py
+++ b/jasperweir/components/forward/end_watch.py
@@ -1,4 +1,8 @@
-"""Find out which targets end, and which requests ran there when they did."""
+"""Detection of crashed targets and of the requests that ran there.
+
+A target has crashed if its connections broke and its address no longer
+accepts new ones.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -25,24 +29,24 @@
 
 
 class ProbeResult(enum.Enum):
-    """What a new connection to a target showed."""
+    """Result of a new connection to a target whose connections broke."""
 
-    # Nothing listens there any more.
+    # The connection was refused: the process has ended.
     ENDED = "ended"
-    # It was accepted.
+    # The connection was accepted.
     LISTENS = "listens"
-    # There was no answer in time: a cut, or a lost machine.
+    # No reply in time: a network partition or a lost VM.
     NONE = "none"
-    # There was none, and then another incarnation came to its address.
+    # No reply, and another target has since taken over the address.
     REPLACED = "replaced"
 
 
 class EndWatch:
-    """Check targets whose connections break, and remember who ran there.
+    """Probes targets whose connections break and records the affected requests.
 
     Attributes:
-        ledger: Requests under which targets ended.
-        on_marks: Called with what other processes are to be told.
+        ledger: Fingerprints of requests under which targets crashed.
+        on_marks: Called with the marks to send to other processes.
     """
 
     def __init__(
@@ -65,7 +69,7 @@
     def find_verdict(
         self, exchange: "exchange_lib.Exchange", now: float
     ) -> ledger_lib.Verdict:
-        """Tell whether a request is kept from targets."""
+        """Return whether and for how long a request is quarantined."""
         found = self._find_fingerprint(exchange)
         if found is None:
             return ledger_lib.Verdict(0, 0.0)
@@ -74,10 +78,13 @@
     def reject_if_quarantined(
         self, exchange: "exchange_lib.Exchange", now: float
     ) -> bool:
-        """Refuse a request under which targets have ended.
+        """Reject a request under which several targets have crashed.
+
+        This keeps a request that is retried every few seconds from crashing one
+        target after another, each of which stops its group of ranks.
 
-        Without it one request that comes back every few seconds ends one target
-        each time, which is away for seconds and stops its group of ranks.
+        Returns:
+            Whether the request was rejected.
         """
         verdict = self.find_verdict(exchange, now)
         if not verdict.held_s:
@@ -92,10 +99,10 @@
         target: records.Target,
         sent_at: float,
     ) -> None:
-        """Note a request whose connection broke before its answer was whole."""
+        """Record a request whose connection broke before its response ended."""
         known = self._directory.get(target.target_id)
         if known is None or known.presence is not records.Presence.READY:
-            # It leaves, which is no request's doing.
+            # A target that is shutting down closes connections by itself.
             return
         found = fingerprint.of(_subject(exchange))
         now = self._clock.monotonic()
@@ -109,14 +116,14 @@
         check.add_done_callback(self._checks.discard)
 
     def on_response(self, target: records.Target, sent_at: float) -> None:
-        """Note that a target answers what it was sent at a time."""
+        """Record that a target responded to a request sent at a given time."""
         if len(self.ledger):
             now = self._clock.monotonic()
             marks = self.ledger.lives(_incarnation(target), sent_at, now)
             self._publish(marks)
 
     def on_completed(self, exchange: "exchange_lib.Exchange") -> None:
-        """Note that a request was answered whole, and well."""
+        """Record that a request got a complete, successful response."""
         found = self._find_fingerprint(exchange)
         if found is not None:
             self._publish(self.ledger.absolve(found, self._clock.monotonic()))
@@ -124,7 +131,7 @@
     def _find_fingerprint(
         self, exchange: "exchange_lib.Exchange"
     ) -> fingerprint.Fingerprint | None:
-        """Return a request's fingerprint if it may be remembered."""
+        """Return a request's fingerprint if the ledger may contain it."""
         return self.ledger.find(_subject(exchange))
 
     async def _check_target(self, target: records.Target) -> None:
@@ -140,7 +147,7 @@
             self._suspects.keep(case, self._clock.monotonic())
 
     def tick(self, now: float) -> None:
-        """Forget what is old; mark what has become clear since."""
+        """Expire old records and add marks for targets found to be gone."""
         self.ledger.tick(now)
         cases = self._suspects.cleared(
             lambda service: self._directory.serving(service, now), now
--- a/jasperweir/components/forward/events.py
+++ b/jasperweir/components/forward/events.py
@@ -1,4 +1,4 @@
-"""Split a stream of server-sent events into whole events."""
+"""Splitting of a server-sent event stream into complete events."""
 
 from jasperweir.components.forward import const
 
@@ -6,10 +6,11 @@
 
 
 class EventSplitter:
-    """Hold back the part of a stream that is not a whole event yet.
+    """Buffers the part of a stream after its last complete event.
 
     Attributes:
-        last_id: Id of the last whole event, or the one it began with.
+        last_id: Id of the last complete event, initially the id after which the
+            stream resumes.
     """
 
     def __init__(self, *, last_id: str) -> None:
@@ -17,7 +18,7 @@
         self._buffer = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that are complete now."""
+        """Add received bytes and return the events completed by them."""
         self._buffer += data
         end = max(self._buffer.rfind(mark) + len(mark) for mark in _TERMINATORS)
         if not any(mark in self._buffer for mark in _TERMINATORS):
@@ -29,7 +30,7 @@
         return whole
 
     def flush(self) -> bytes:
-        """Return what is left when the stream has ended in order."""
+        """Return the remaining bytes after a regular end of the stream."""
         rest, self._buffer = self._buffer, b""
         return rest
 
--- a/jasperweir/components/forward/exchange.py
+++ b/jasperweir/components/forward/exchange.py
@@ -1,4 +1,4 @@
-"""One request on its way: drives sockets as the verdicts say."""
+"""One proxied request: its connections, attempts and response."""
 
 import asyncio
 import math
@@ -21,21 +21,22 @@
 Fault = life_lib.Fault
 
 
-# Refusals by targets that may end within a second or two.
+# Results that may change within seconds, so that waiting is worthwhile.
 _WAITABLE_CODES = (Code.TARGETS_REFUSED, Code.NO_TARGET)
 
 
 class Exchange:
-    """A caller's request, its sends to targets, and its answer.
+    """A caller's request, its attempts at targets and its response.
 
     Attributes:
-        number: Own number of the request.
-        answering: Way back to the caller.
-        service: Service that it goes to.
-        life: Facts and rules of the request.
-        done: Whether the caller has its final answer or has gone.
-        first_byte_at: When the first byte of an answer arrived.
-        longest_gap: Longest pause between two events, seconds.
+        number: Number of the request, unique in this process.
+        answering: Response channel to the caller.
+        service: Service that the request is routed to.
+        life: State of the request and its retry rules.
+        done: Whether the caller has its final response or has disconnected.
+        first_byte_at: When the first byte of a response arrived, monotonic
+            seconds; 0 before.
+        longest_gap_s: Longest pause between two events, seconds.
     """
 
     def __init__(
@@ -78,13 +79,13 @@
 
     @property
     def target_id(self) -> str:
-        """Incarnation that has the request, or had it last."""
+        """Id of the target that has the request or had it last."""
         return self._target.target_id if self._target else ""
 
-    # Sending.
+    # Sending to a target.
 
     def send_to(self, target: records.Target) -> None:
-        """Send the request to a target, over an idle connection or a new."""
+        """Send the request to a target, over an idle or a new connection."""
         self._target = target
         self._forwarder.balancer.begin(target.target_id)
         self._holds_slot = True
@@ -118,7 +119,7 @@
         now = self._forwarder.now()
         life = self.life
         if self._forwarder.targets.asked.bars(self._target, now):
-            # It has asked for rest while the connection was opened.
+            # The target sent backpressure while the connection was opened.
             self._forwarder.pool.give(_pool_key(self._target), conn)
             self._release_slot()
             self._apply(life.on_target_unavailable(self._target.target_id))
@@ -146,10 +147,14 @@
         self._sent_at = now
         conn.send(http_message.write_head(line, headers) + req.body, self)
 
-    # What a target answers.
+    # Handling of the response.
 
     def on_head(self, head: http_message.Head, length: int | None) -> bool:
-        """Judge the head of an answer; False if it is to another request."""
+        """Handle the head of a target's response.
+
+        Returns:
+            False if the response belongs to another request.
+        """
         found = self._forwarder.dialect.target_head(head)
         if found.request_id and found.request_id != self.life.ask.request_id:
             return False
@@ -175,14 +180,14 @@
         else:
             self._forwarder.balancer.failed(self.target_id, now, hard=False)
         if self.life.response_started:
-            # A resumed stream keeps the head of its first target.
+            # A resumed stream keeps the first target's response head.
             return True
         self._head = head
         self._length = length
         return True
 
     def on_data(self, data: bytes) -> None:
-        """Pass on whole events, or hold a body until it is whole."""
+        """Pass on complete events, or buffer a body until it is complete."""
         if self.done or self._conn is None:
             return
         if not self.first_byte_at:
@@ -214,7 +219,7 @@
         self._last_event_at = now
 
     def on_end(self) -> None:
-        """Complete the caller's answer."""
+        """Complete the caller's response."""
         conn = self._conn
         if self.done or conn is None or self._target is None:
             return
@@ -241,7 +246,7 @@
         self._finish(f"answered {self._head.status}")
 
     def on_broken(self, reason: str) -> None:
-        """Judge a connection that ended before the answer was whole."""
+        """Handle a connection that closed before the response was complete."""
         if not self.done and self._target is not None:
             self._forwarder.ends.on_broken(self, self._target, self._sent_at)
         self._on_fault(Fault.UNKNOWN, reason, hard=False)
@@ -262,7 +267,7 @@
         headers = http_message.end_to_end(self._head.headers)
         self.answering.start(self._head.status, headers, length)
 
-    # What goes wrong.
+    # Handling of faults.
 
     def _on_connect_failed(self, reason: str) -> None:
         self._on_fault(Fault.UNSENT, reason, hard=True)
@@ -281,7 +286,7 @@
         self._apply(self.life.on_fault(target.target_id, fault, now))
 
     def _release_target(self) -> None:
-        """Let go of the target; whole events that came from it stay."""
+        """Disconnect from the target and drop its unfinished data."""
         self._close_connection()
         self._release_slot()
         self._head = self._head if self.life.response_started else None
@@ -292,11 +297,11 @@
 
     @property
     def can_move(self) -> bool:
-        """Whether it is at a target now and may go on at another."""
+        """Whether a target has the request and another one may continue it."""
         return self._conn is not None and self.life.can_move
 
     def leave_target(self) -> None:
-        """Stop the work at the target, to go on with it at another."""
+        """Cancel the request at its target to continue it at another one."""
         self._release_target()
         self.life.on_moved()
 
@@ -312,7 +317,7 @@
                 self._finish(f"broken off: {verdict.reason}")
 
     def fail(self, code: Code) -> None:
-        """End a request for which no other target is to be tried."""
+        """End the request without trying another target."""
         self._apply(self.life.fail(code))
 
     def _try_wait(self, code: Code) -> bool:
@@ -321,7 +326,7 @@
         return self._forwarder.admission.wait_for_targets(self)
 
     def reject(self, code: Code) -> None:
-        """Give the caller a numbered answer of our own."""
+        """Send the caller a response with the entry's own result code."""
         if self.done:
             return
         self._close_connection()
@@ -345,7 +350,7 @@
         self._release_slot()
         self._finish("caller gone")
 
-    # Ends.
+    # Cleanup.
 
     def _close_connection(self) -> None:
         if self._conn is not None:
@@ -353,7 +358,7 @@
             self._conn = None
 
     def _release_slot(self) -> None:
-        """Give the place at the target back, once."""
+        """Release the request's slot at the target, at most once."""
         if self._target is not None and self._holds_slot:
             self._forwarder.balancer.finish(self.target_id)
             self._holds_slot = False
@@ -365,5 +370,8 @@
 
 
 def _pool_key(target: records.Target) -> str:
-    """Connections belong to an incarnation: addresses are used again."""
+    """Return the connection pool key of a target.
+
+    It includes the start of the target because addresses are reused.
+    """
     return f"{target.address}/{target.target_id}/{target.born}"
--- a/jasperweir/components/forward/forwarder.py
+++ b/jasperweir/components/forward/forwarder.py
@@ -1,4 +1,4 @@
-"""Requests of one entry: admitted, sent, sent again, answered."""
+"""Forwarding of all requests of one entry."""
 
 from collections.abc import Callable
 import itertools
@@ -40,22 +40,23 @@
 
 
 class Forwarder:
-    """Everything that the requests of one entry share.
+    """Admits requests, chooses their targets and retries them.
 
     Attributes:
         balancer: Open requests and health of targets.
-        neighbours: Entries and targets that this one deals with first.
-        places: Where a request may go now.
-        passes: Passes of groups of engines, and the limits from them.
-        notes: What is concluded from the answers of targets.
-        ends: Targets that end, and the requests that ran there.
-        targets: Which targets want requests now.
-        waiting: Who may go to one at once, and who may wait.
+        neighbours: Entries and targets in the same cell as this entry.
+        capacity: Free slots at targets, nearby ones first.
+        pass_monitor: Pass times of engine groups and the resulting limits.
+        notes: Handlers of what targets respond.
+        ends: Detection of crashed targets and of the requests that ran there.
+        targets: Targets that accept requests now.
+        admission: Policy on sending, queueing and rejecting requests.
         pool: Connections to targets.
         dialect: Protocol of callers and targets.
         index: Configuration in force, None before the first.
-        is_certain: Tells whether the configuration in force is the newest.
-        on_work: Called when ``tick`` has something to do soon.
+        is_certain: Returns whether the configuration in force is known to be
+            the newest.
+        on_work: Called when ``tick`` needs to run soon.
     """
 
     def __init__(
@@ -138,23 +139,23 @@
         return self._clock.monotonic()
 
     def stop(self) -> None:
-        """Refuse new requests from now on."""
+        """Reject new requests from now on."""
         self.admission.stopping = True
 
     @property
     def stopping(self) -> bool:
-        """Whether new requests are refused."""
+        """Whether new requests are rejected."""
         return self.admission.stopping
 
     @property
     def open_count(self) -> int:
-        """Number of requests without a final answer."""
+        """Number of requests without a final response."""
         return len(self._open_exchanges)
 
     # Arrival.
 
     def handle(self, answering: http_server.Answering) -> None:
-        """Take in a caller's request."""
+        """Handle a caller's request."""
         req = answering.request
         index = self.index
         try:
@@ -170,7 +171,7 @@
     def _buffer_early(
         self, answering: http_server.Answering, ask: dialect_lib.Ask
     ) -> None:
-        """Keep a request for a moment until there are routes."""
+        """Buffer a request until a configuration has arrived."""
         now = self.now()
         until = self._startup_grace.compute_deadline(now, ask.patience_s)
         if ask.resume_after:
@@ -241,11 +242,14 @@
         ask: dialect_lib.Ask,
         denial: matching.Denial,
     ) -> None:
-        """Deny what the configuration does not hold, if it is the newest."""
+        """Reject a request that the configuration does not allow.
+
+        The result is NOT_READY if a newer configuration may allow it.
+        """
         code = denial.code if self.is_certain() else Code.NOT_READY
         self._turn_away_request(answering, ask, code, denial.detail)
 
-    # Places.
+    # Target selection.
 
     def _admit(self, exchange: exchange_lib.Exchange, now: float) -> None:
         if self.ends.reject_if_quarantined(exchange, now):
@@ -277,13 +281,13 @@
         if self.ends.reject_if_quarantined(exchange, now):
             return
         tried = exchange.life.tried_target_ids
-        # Others may have been sent there since the places were counted.
+        # Requests sent since the slots were counted may have closed a target.
         near = self.targets.filter_available(
             candidates.targets, exchange.service, now
         )
         target = self.balancer.choose(near, tried, now)
         if target is None:
-            # All near ones have been tried.
+            # All nearby targets have been tried.
             targets = self.targets.list_available(exchange.service, now)
             target = self.balancer.choose(targets, tried, now)
         if target is None:
@@ -305,7 +309,7 @@
         exchange.send_to(target)
 
     def on_marks(self, now: float) -> None:
-        """Refuse those who wait and are now known to end targets."""
+        """Reject queued requests that are quarantined by now."""
         for service in self._queues.list_waiting_services():
             for number in self._queues.get(service).gate.numbers():
                 exchange = self._open_exchanges.get(number)
@@ -313,10 +317,10 @@
                     self.ends.reject_if_quarantined(exchange, now)
 
     def retry(self, exchange: exchange_lib.Exchange) -> None:
-        """Send a request to another target if the budget allows."""
+        """Send a request to another target if the retry budget allows."""
         now = self.now()
         if self._outages.of(exchange.service).lasts(now):
-            # Another target would refuse it as well.
+            # Another target would refuse the request as well.
             exchange.fail(Code.TARGETS_REFUSED)
             return
         targets = self.targets.list_available(exchange.service, now)
@@ -325,15 +329,16 @@
 
     @property
     def has_work(self) -> bool:
-        """Whether ``tick`` has something to do: who waits, passes seen."""
+        """Whether ``tick`` has queues or measured passes to process."""
         if len(self._early_requests) or self._queues.list_waiting_services():
             return True
         return bool(self.pass_monitor.limits.due())
 
     def tick(self) -> None:
-        """Let time pass: give places to those who wait, refuse the late.
+        """Send queued requests to free slots and reject expired ones.
 
-        Due within TICK_SECONDS of an ``on_work``, and as long as ``has_work``.
+        To be called within TICK_SECONDS of an ``on_work`` call, and again while
+        ``has_work`` is true.
         """
         now = self.now()
         self.pass_monitor.tick(now)
@@ -346,7 +351,7 @@
         self._queues.publish(now)
 
     def _serve_queue(self, service: str, now: float) -> None:
-        """Send those who get a place, refuse those who have waited enough."""
+        """Send the admitted requests of a queue and reject the expired ones."""
         gate = self._queues.get(service).gate
         targets = self.targets.list_available(service, now)
         candidates = self._find_candidates(service, targets, now)
@@ -354,8 +359,8 @@
         given = self._queues.count_admissible(
             service, candidates, now, starts=starts
         )
-        # In an overload without a start, room for those in time costs those who
-        # are late more refusals than it brings.
+        # Late requests yield slots to timely ones only during startup. In any
+        # other overload this costs more rejections than it avoids.
         yielding = given.yielding if starts else None
         for number in gate.admit(given.total, now, yielding=yielding):
             exchange = self._open_exchanges.get(number)
@@ -384,7 +389,12 @@
         return taken
 
     def on_paces(self, paces: dict[str, float], now: float) -> None:
-        """Take in which targets, by address, are slow; streams leave them."""
+        """Update the paces of targets and move streams away from slow ones.
+
+        Args:
+            paces: Slowdown factors by target address.
+            now: Monotonic seconds.
+        """
         self.balancer.on_paces(paces, now)
         for exchange in stragglers.find_streams_to_move(
             self._open_exchanges.values(), self.balancer, self._directory, now
@@ -405,39 +415,39 @@
     # Other entries.
 
     def on_entries(self, entries: tuple[records.Node, ...]) -> None:
-        """Take in the entries that there are, this one included."""
+        """Update the list of entries, this one included."""
         self.capacity.entry_count = max(len(entries), 1)
         self.neighbours.on_entries(entries)
         names = (entry.name for entry in entries)
         self.targets.asked.shares.on_entries(names, self.now())
 
     def share(self) -> balance_messages.Share:
-        """Return what to tell the other entries."""
+        """Return the load report for other entries."""
         refusing = self.targets.asked.refusing(self.now())
         return self.balancer.share()._replace(refusing=refusing)
 
     def on_share(self, src: str, msg: balance_messages.Share) -> None:
-        """Take in what another entry tells."""
+        """Handle another entry's load report."""
         now = self.now()
         self.balancer.on_share(src, msg, now)
         self.targets.asked.on_told(msg.refusing, now)
 
     def tidy(self) -> None:
-        """Drop what is not used any more: connections, and rests long over."""
+        """Close idle connections and drop expired backpressure state."""
         now = self.now()
         self.pool.tidy()
         self.targets.tidy(now)
         self._recorder.record_signal_counts(self.targets.asked.counts(now))
 
-    # Ends.
+    # Completion.
 
     def on_finished(
         self, exchange: exchange_lib.Exchange, outcome: str
     ) -> None:
-        """Forget a request that has ended, and record what became of it."""
+        """Remove a finished request and record its outcome."""
         self._open_exchanges.pop(exchange.number, None)
         if self._queues.remove(exchange):
-            # The other entries are told that it waits no more.
+            # The shorter queue must be published to the other entries.
             self.on_work()
         self._recorder.record_end(
             exchange, outcome, version=self._config_version, now=self.now()
@@ -449,12 +459,12 @@
         return self.index.deployment.version if self.index else 0
 
     def record_pause(self, service: str, seconds: float) -> None:
-        """Note the pause between two events of a stream."""
+        """Record the pause between two events of a stream."""
         if self.pass_monitor.limits.on_pause(service, seconds):
             self.on_work()
 
     def reject(self, exchange: exchange_lib.Exchange, code: Code) -> None:
-        """Answer a request by a result code, with when to come back."""
+        """Send a result code to the caller, with the delay before a retry."""
         now = self.now()
         self._refusals.refuse(
             exchange.answering,
--- a/jasperweir/components/forward/life.py
+++ b/jasperweir/components/forward/life.py
@@ -1,4 +1,4 @@
-"""Verdicts on one request: what may be sent again, what is answered."""
+"""State of one request and the rules for its retries; sans-I/O."""
 
 import enum
 from typing import NamedTuple
@@ -14,32 +14,32 @@
 
 
 class Fault(enum.Enum):
-    """What became of a send that brought no usable answer."""
+    """Why an attempt brought no usable response."""
 
-    # No byte reached a target.
+    # No connection to the target could be opened.
     UNSENT = "unsent"
-    # The target states that it did not run the request.
+    # The target stated that it did not run the request.
     NOT_RUN = "not_run"
-    # Another incarnation has the address now; the request was not run.
+    # Another target has the address now and did not run the request.
     REPLACED = "replaced"
     # The target may have run it, or failed while running it.
     UNKNOWN = "unknown"
 
 
 class Retry(NamedTuple):
-    """Verdict: choose another target, if the retry budget allows."""
+    """Decision: try another target if the retry budget allows."""
 
     resume_after: str
 
 
 class Fail(NamedTuple):
-    """Verdict: the caller gets this result code as its answer."""
+    """Decision: send this result code to the caller."""
 
     code: Code
 
 
 class Abort(NamedTuple):
-    """Verdict: the answer that has begun cannot be completed."""
+    """Decision: close the connection, the response cannot be completed."""
 
     reason: str
 
@@ -48,26 +48,28 @@
 
 
 class Life:
-    """Facts of one request and the rules that follow from them.
+    """State of one request and the decisions that follow from it.
 
     Attributes:
         match: Route and customer.
-        ask: What the caller stated.
-        arrived: When it arrived, monotonic seconds.
-        asked_at: When its caller first asked, as far as is known, monotonic
-            seconds.
-        ends: When its answer must be final, monotonic seconds.
-        sends: How many targets have received it.
-        arrivals: How many times it has arrived at an address, which is what
-            the retry budget counts.
-        misses: How many sends did not reach the target that was meant.
-        tried: Targets that are not to be tried again.
-        may_have_run: Whether a target may have run it.
-        started: Whether the caller has received a part of the answer.
-        last_event: Id of the last event that the caller holds, or empty.
-        foreseen_s: Seconds after its arrival when a place was foreseen.
-        kept_until: Until when it waits in any case, since its entry has just
-            started, monotonic seconds.
+        ask: Metadata from the caller's headers.
+        arrived: When the request arrived, monotonic seconds.
+        asked_at: When the caller made its first attempt, as estimated from the
+            deadline it states, monotonic seconds.
+        caller_deadline: When the caller stops waiting, monotonic seconds.
+        deadline: When the response must be final, monotonic seconds.
+        attempts: Number of targets that have received the request.
+        deliveries: Number of times that the request was written to an address,
+            as counted by the retry budget.
+        undelivered: Number of attempts that did not reach the intended target.
+        tried_target_ids: Targets that are not tried again.
+        may_have_run: Whether a target may have run the request.
+        response_started: Whether the caller has received part of the response.
+        last_event_id: Id of the last event that the caller has received, or
+            empty.
+        expected_wait_s: Expected time from arrival to a free slot, seconds.
+        startup_deadline: Until when the request stays queued because the entry
+            has just started, monotonic seconds.
     """
 
     def __init__(
@@ -78,13 +80,13 @@
         now: float,
         used_s: float = 0.0,
     ) -> None:
-        """Begin a request.
+        """Initialize the state of a request.
 
         Args:
             match: Route and customer.
-            ask: What the caller stated.
-            now: Monotonic seconds.
-            used_s: Seconds that its caller has spent on earlier tries.
+            ask: Metadata from the caller's headers.
+            now: Arrival of the request, monotonic seconds.
+            used_s: Time that the caller spent on earlier attempts, seconds.
         """
         self.match = match
         self.ask = ask
@@ -107,28 +109,28 @@
 
     @property
     def is_stream(self) -> bool:
-        """Whether the answer is passed on event by event."""
+        """Whether the response is passed on event by event."""
         return self.match.route.kind is model.Kind.STREAM
 
     @property
     def customer_name(self) -> str:
-        """Name of the customer whose key it bears, or empty."""
+        """Name of the customer that holds the key, or empty."""
         customer = self.match.customer
         return customer.name if customer else ""
 
     @property
     def is_resumed(self) -> bool:
-        """Whether the caller goes on with an answer that broke off."""
+        """Whether the caller resumes a response that broke off."""
         return bool(self.ask.resume_after) and self.match.route.resumable
 
     @property
     def is_last_try(self) -> bool:
-        """Whether its caller is not likely to ask once more if refused."""
+        """Whether the caller is unlikely to try again after a rejection."""
         return self.is_resumed or self.asked_at < self.arrived
 
     @property
     def can_move(self) -> bool:
-        """Whether it may be stopped and go on at another target."""
+        """Whether the request may be cancelled and sent to another target."""
         route = self.match.route
         if not self.is_stream or not route.resumable:
             return False
@@ -136,20 +138,27 @@
 
     @property
     def max_wait_s(self) -> float:
-        """Longest time that a first try waits for a place, seconds."""
+        """Longest wait for a slot on a caller's first attempt, seconds."""
         return min(
             balance_const.WAIT_SHARE * self.match.route.target_s,
             balance_const.WAIT_MOST_SHARE * self.remaining_s(self.arrived),
         )
 
     def expect_wait(self, seconds: float) -> bool:
-        """Note when a place is expected; False if that is too late to wait."""
+        """Set the expected wait for a slot.
+
+        Args:
+            seconds: Expected wait.
+
+        Returns:
+            Whether the request should wait that long.
+        """
         self.expected_wait_s = seconds
         return self.is_last_try or seconds <= self.max_wait_s
 
     @property
     def waits_until(self) -> float:
-        """When a request without a place is refused, monotonic seconds."""
+        """When the request is rejected without a slot, monotonic seconds."""
         target_s = self.match.route.target_s
         least_s = balance_const.WAIT_LEAST_SECONDS
         if self.is_resumed:
@@ -166,32 +175,32 @@
         return max(self.arrived + wait, self.startup_deadline)
 
     def remaining_s(self, now: float) -> float:
-        """Return the seconds that are left for an answer."""
+        """Return the time left for the response, seconds."""
         return self.deadline - now
 
     def on_sent(self, target_id: str) -> None:
-        """Note that bytes of the request go to a target."""
+        """Record that the request is written to a target."""
         self.attempts += 1
         self.deliveries += 1
         self.tried_target_ids.add(target_id)
 
     def on_moved(self) -> None:
-        """Note that its target was told to stop."""
+        """Record that the request was cancelled at its target."""
         self.may_have_run = True
 
     def on_target_unavailable(self, target_id: str) -> Decision:
-        """Judge a request whose target wants no more before it was sent."""
+        """Decide on a request whose target closed before it was sent."""
         self.tried_target_ids.add(target_id)
         return Retry(resume_after=self.last_event_id)
 
     def on_fault(self, target_id: str, fault: Fault, now: float) -> Decision:
-        """Judge a send that brought no whole answer."""
+        """Decide on a request whose attempt brought no complete response."""
         self.tried_target_ids.add(target_id)
         match fault:
             case Fault.UNSENT:
                 self.undelivered += 1
             case Fault.REPLACED:
-                # It has not reached the target that was meant.
+                # The intended target did not receive the request.
                 self.attempts -= 1
                 self.undelivered += 1
             case Fault.UNKNOWN:
@@ -209,10 +218,10 @@
         return Retry(resume_after=self.last_event_id)
 
     def fail(self, code: Code) -> Decision:
-        """Return the final answer of a request that is given up.
+        """Return the final decision on a request that is not tried again.
 
-        A code that says "not run" turns into one that leaves it open as soon
-        as a target may have run the request.
+        A result code that promises "not run" is replaced by BROKEN_OFF if a
+        target may have run the request.
         """
         if self.response_started:
             return Abort(reason=code.name.lower())
@@ -222,7 +231,7 @@
         return Fail(code=code)
 
     def on_timeout(self, at_target: bool) -> Decision:
-        """Judge a request whose time is up."""
+        """Decide on a request whose deadline has passed."""
         if at_target:
             self.may_have_run = True
         if self.may_have_run:
@@ -232,9 +241,10 @@
     def classify_response(
         self, status: int, head: dialect_lib.TargetHead
     ) -> Fault | None:
-        """Return the fault that an answer's head shows, or None.
+        """Return the fault that the head of a response shows.
 
-        None means that the answer is the caller's, a failure included.
+        Returns:
+            None if the response is passed on to the caller, errors included.
         """
         if head.other_target:
             return Fault.REPLACED
@@ -248,10 +258,10 @@
             if self.attempts < self.match.route.max_attempts:
                 return Fault.UNKNOWN
         if status in _NOT_RUN_STATUSES:
-            # Only the target's own statement makes "not run" true.
+            # Without the target's own statement the request may have run.
             return Fault.UNKNOWN
         return None
 
 
-# Statuses by which a caller is told that its request has not run.
+# Statuses that tell a caller that its request has not run.
 _NOT_RUN_STATUSES = (408, 421, 429, 503)
--- a/jasperweir/components/forward/matching.py
+++ b/jasperweir/components/forward/matching.py
@@ -1,4 +1,4 @@
-"""Which route and customer of the configuration a request belongs to."""
+"""Matching of requests to routes and customers of the configuration."""
 
 from typing import NamedTuple
 
@@ -11,7 +11,7 @@
 
 
 class Denial(NamedTuple):
-    """The configuration does not allow a request."""
+    """The reason why the configuration does not allow a request."""
 
     code: Code
     detail: str
@@ -20,7 +20,7 @@
 def match_request(
     index: index_lib.Index, req: http_message.Request, ask: dialect_lib.Ask
 ) -> index_lib.Match | Denial:
-    """Return the route and customer of a request, or why it has none."""
+    """Return the route and customer of a request, or why it is denied."""
     host = (req.header(b"host") or b"").decode("latin-1")
     route = index.route(host, req.path)
     if route is None:
--- a/jasperweir/components/forward/notes.py
+++ b/jasperweir/components/forward/notes.py
@@ -1,4 +1,4 @@
-"""What an entry concludes from what becomes of its sends."""
+"""Updates of an entry's shared state after each attempt."""
 
 from collections.abc import Callable
 
@@ -18,11 +18,11 @@
 
 
 class Notes:
-    """Tell outages and forecasts of answers, and write them down.
+    """Updates outages, backpressure and forecasts from the outcome of attempts.
 
     Attributes:
-        on_replaced: Called with a target whose address another one has.
-        on_leaving: Called with a target that says it leaves.
+        on_replaced: Called with a target whose address another one has taken.
+        on_leaving: Called with a target that announces its shutdown.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         told: signals_lib.Signals,
         sent_at: float,
     ) -> None:
-        """Note what a target asks with the head of an answer."""
+        """Handle the backpressure signals in a response head."""
         now = self._clock.monotonic()
         changes = self._targets.asked.on_answer(target, told, now, sent_at)
         self._recorder.record_signals(target, told, changes)
@@ -66,11 +66,11 @@
         fault: life_lib.Fault,
         reason: str,
     ) -> None:
-        """Note a send that brought no usable answer."""
+        """Handle an attempt that brought no usable response."""
         now = self._clock.monotonic()
         if fault is life_lib.Fault.REPLACED:
             self.on_replaced(target)
-        # One that asks for rest speaks for itself, not for its service.
+        # Backpressure of one target does not indicate an outage of its service.
         rests = self._targets.asked.bars(target, now)
         if fault is life_lib.Fault.NOT_RUN and not rests:
             self._targets.asked.on_refused(target, now)
@@ -85,7 +85,7 @@
     def on_accepted(
         self, exchange: exchange_lib.Exchange, target: records.Target
     ) -> None:
-        """Note that a target has taken a request."""
+        """Handle a request that a target has accepted."""
         now = self._clock.monotonic()
         if self._targets.asked.on_taken(target, now):
             self._recorder.record_recovery(target)
@@ -96,11 +96,11 @@
     def on_completed(
         self, exchange: exchange_lib.Exchange, sent_at: float
     ) -> None:
-        """Note that a target has answered a request in full."""
+        """Handle a complete response of a target."""
         took_s = self._clock.monotonic() - sent_at
         first_s = max(exchange.first_byte_at - sent_at, 0.0)
         self._queues.get(exchange.service).forecast.on_end(took_s, first_s)
 
     def on_timeout(self, exchange: exchange_lib.Exchange) -> None:
-        """Note a request whose time is up."""
+        """Handle a request whose deadline has passed."""
         self._recorder.record_timeout(exchange)
--- a/jasperweir/components/forward/pass_monitor.py
+++ b/jasperweir/components/forward/pass_monitor.py
@@ -1,4 +1,4 @@
-"""Learn the limits of groups from passes, and record when they bind."""
+"""Limits on the streams of engine groups, derived from their pass times."""
 
 from jasperweir.components.balance import passes as passes_lib
 from jasperweir.components.directory import directory as directory_lib
@@ -7,10 +7,10 @@
 
 
 class PassMonitor:
-    """Passes of all services, as this entry sees them.
+    """Pass times of the engines of all services, as seen by this entry.
 
     Attributes:
-        limits: How many streams the groups of engines may run.
+        limits: Maximum number of streams of each group of engines.
     """
 
     def __init__(
@@ -24,11 +24,11 @@
         self._capacity = capacity
         self._directory = directory
         self._recorder = recorder
-        # Services whose passes let nothing new in.
+        # Services whose pass time leaves no room for another stream.
         self._saturated_services: set[str] = set()
 
     def tick(self, now: float) -> None:
-        """Learn from the pauses of streams since the last call."""
+        """Update the limits from the stream pauses since the last call."""
         for service, limit in self.limits.due():
             self._update_limit(service, limit, now)
 
--- a/jasperweir/components/forward/queues.py
+++ b/jasperweir/components/forward/queues.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a place, by service, at one entry; sans-I/O."""
+"""Queues of requests that wait for a slot, by service; sans-I/O."""
 
 import math
 import random
@@ -15,11 +15,11 @@
 
 
 class Queue:
-    """Requests of one service that wait here.
+    """Waiting requests of one service at this entry.
 
     Attributes:
-        gate: Who waits.
-        forecast: How long requests of this service take.
+        gate: Waiting requests by priority.
+        forecast: Estimate of how long requests of this service take.
     """
 
     def __init__(self) -> None:
@@ -28,7 +28,7 @@
 
 
 class Queues:
-    """All that wait at this entry, and their part of the free places."""
+    """Waiting requests of this entry and its share of the free slots."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         return self._by_service.setdefault(service, Queue())
 
     def list_waiting_services(self) -> list[str]:
-        """Return the services for which any request waits."""
+        """Return the services that have waiting requests."""
         return [name for name, q in self._by_service.items() if len(q.gate)]
 
     def estimate_wait_s(
@@ -59,17 +59,16 @@
         running: int,
         now: float,
     ) -> float:
-        """Return the seconds after which a further request gets a place.
+        """Estimate when one more request would get a slot, in seconds.
 
         Args:
             service: Its service.
-            candidates: Targets that it may go to; free_slots is negative while
-                requests ahead of it need that many slots.
-            running: Requests at the service's targets.
+            candidates: Targets that it may be sent to.
+            running: Number of requests that run at the service's targets.
             now: Monotonic seconds.
         """
         queue = self.get(service)
-        # Who is late already waits behind it.
+        # Late requests are served after timely ones and do not count.
         ahead = queue.gate.timely(now) - min(candidates.free_slots, 0)
         ahead += self._balancer.queue_elsewhere(service, now).timely
         return queue.forecast.wait_s(ahead=ahead, running=running)
@@ -77,7 +76,12 @@
     def enqueue(
         self, exchange: exchange_lib.Exchange, not_before: float
     ) -> None:
-        """Queue a request."""
+        """Add a request to the queue of its service.
+
+        Args:
+            exchange: The request.
+            not_before: Earliest time to send it, monotonic seconds.
+        """
         life = exchange.life
         queue = self.get(exchange.service)
         queue.gate.wait(
@@ -92,18 +96,18 @@
         )
 
     def remove(self, exchange: exchange_lib.Exchange) -> bool:
-        """Take out a request that has ended; return whether it waited."""
+        """Remove a finished request and return whether it was queued."""
         return self.get(exchange.service).gate.withdraw(exchange.number)
 
     def is_timely(self, exchange: exchange_lib.Exchange, now: float) -> bool:
-        """Tell whether a request that is sent now can be in time."""
+        """Return whether a request sent now can meet its target time."""
         return now <= self._timely_until(exchange)
 
     def _timely_until(self, exchange: exchange_lib.Exchange) -> float:
         life = exchange.life
         if life.is_resumed:
-            # Its caller holds a part of the answer and has no further try: the
-            # rest is late whenever it comes, and lost if it does not.
+            # The caller cannot retry a partial response again, so the rest is
+            # worth sending however late it is.
             return math.inf
         ends_in_time = life.asked_at + life.match.route.target_s
         return ends_in_time - self.get(exchange.service).forecast.first_s
@@ -116,14 +120,14 @@
         *,
         starts: bool = False,
     ) -> forecast_lib.Part:
-        """Return how many of those who wait are sent now.
+        """Return how many waiting requests may be sent now.
 
         Args:
             service: Their service.
-            candidates: Places that they may have.
+            candidates: Targets that they may be sent to.
             now: Monotonic seconds.
-            starts: Whether this entry, and the targets with it most likely, has
-                just started.
+            starts: Whether this entry, and so probably the targets, has just
+                started.
         """
         if self._is_in_outage(service, now, starts=starts):
             probes = int(
@@ -132,7 +136,7 @@
             )
             return forecast_lib.Part(timely=0, late=probes, yielding=probes)
         others = self._balancer.queue_elsewhere(service, now)
-        # Of entries beyond the own cell nothing is known but their number.
+        # The queues of entries outside the own cell are unknown.
         known = 1 + len(self._neighbours.peers)
         seen = min(1.0, known / max(candidates.entry_count, 1))
         own = self._summarize(service, now)
@@ -145,7 +149,7 @@
         )
 
     def _is_in_outage(self, service: str, now: float, *, starts: bool) -> bool:
-        """Tell whether all targets of a service refuse at present."""
+        """Return whether all targets of a service refuse requests."""
         outage = self._outages.of(service)
         return outage.lasts(now) and not (starts and outage.seems_over(now))
 
@@ -156,7 +160,7 @@
         return outage.take_probe(now)
 
     def publish(self, now: float) -> None:
-        """Let the other entries be told who waits here."""
+        """Update the queue lengths in the load report for other entries."""
         for service in self._by_service:
             self._balancer.note_queue(self._summarize(service, now))
 
--- a/jasperweir/components/forward/recorder.py
+++ b/jasperweir/components/forward/recorder.py
@@ -1,4 +1,4 @@
-"""Log lines and metrics of an entry's decisions on requests."""
+"""Log lines and metrics of forwarding decisions."""
 
 import math
 
@@ -18,7 +18,7 @@
 
 
 class Recorder:
-    """Write down what was decided on each request, with its inputs."""
+    """Records each forwarding decision with its inputs."""
 
     def __init__(self, *, metrics: metrics_lib.Metrics) -> None:
         self._metrics = metrics
@@ -39,12 +39,13 @@
 
         Args:
             exchange: The request.
-            target: Its target.
-            at_target: Open requests there, by all that is known.
-            unknown: Those of them that no entry has told of.
-            free: Free places at the targets that came into question.
-            targets: Number of these.
-            rest_left_s: For how long it still wants no request, seconds.
+            target: The chosen target.
+            at_target: Known open requests at the target.
+            unknown: Those of them that no entry has reported.
+            free: Free slots at the candidate targets.
+            targets: Number of candidate targets.
+            rest_left_s: Time left of the pause that the target asked for,
+                seconds.
             now: Monotonic seconds.
         """
         life = exchange.life
@@ -62,7 +63,7 @@
         )
 
     def record_wait(self, exchange: exchange_lib.Exchange, now: float) -> None:
-        """Record that a request waits for a place or for its targets."""
+        """Record that a request waits for a slot or for a target."""
         life = exchange.life
         self._metrics.inc("waits", last_try=str(life.is_last_try).lower())
         _log.info(
@@ -93,14 +94,14 @@
         streams: float,
         most: float,
     ) -> None:
-        """Record that passes let nothing new in, or that they do again.
+        """Record that the pass time starts or stops to block new streams.
 
         Args:
             service: Service whose engines make the passes.
-            begins: Whether it begins now.
+            begins: Whether new streams are blocked from now on.
             pass_s: Smoothed time of a pass, seconds.
-            streams: Open streams for each target.
-            most: Streams that each target may run.
+            streams: Open streams per target.
+            most: Maximum number of streams per target.
         """
         if begins:
             self._metrics.inc("passes_too_long", service=service)
@@ -113,12 +114,12 @@
         )
 
     def record_pass(self, service: str, pass_s: float, streams: float) -> None:
-        """Show the time of a pass and the streams that made it."""
+        """Update the metrics of pass time and streams per target."""
         self._metrics.gauge("pass_seconds", pass_s, service=service)
         self._metrics.gauge("streams_per_target", streams, service=service)
 
     def record_outage(self, service: str, *, begins: bool) -> None:
-        """Record that all targets of a service refuse, or no longer do."""
+        """Record the start or end of an outage of all targets of a service."""
         if begins:
             self._metrics.inc("outages", service=service)
         _log.info(
@@ -127,7 +128,7 @@
         )
 
     def record_retry(self, *, taken: bool) -> None:
-        """Count a second send that the budget allowed or denied."""
+        """Count a retry that the budget allowed or denied."""
         self._metrics.inc("retries" if taken else "retries_denied")
 
     def record_end(
@@ -138,7 +139,7 @@
         version: int,
         now: float,
     ) -> None:
-        """Record what became of a request."""
+        """Record the outcome of a request."""
         life = exchange.life
         first = exchange.first_byte_at
         self._metrics.inc(
@@ -173,7 +174,7 @@
         reason: str,
         at_target: int,
     ) -> None:
-        """Record a send that brought no usable answer."""
+        """Record an attempt that brought no usable response."""
         self._metrics.inc("faults", fault=fault.value)
         _log.info(
             "send failed",
@@ -191,7 +192,7 @@
         told: signals_lib.Signals,
         changes: list[asked_lib.Change],
     ) -> None:
-        """Record what a target asks of this entry, when that is new."""
+        """Record changed backpressure signals of a target."""
         for change in changes:
             self._metrics.inc("target_signals", signal=change.value)
             _log.info(
@@ -204,7 +205,7 @@
             )
 
     def record_recovery(self, target: records.Target) -> None:
-        """Record that a target takes requests after a rest."""
+        """Record that a target accepts requests after a pause."""
         _log.info(
             "target takes requests again",
             target=target.target_id,
@@ -212,16 +213,16 @@
         )
 
     def record_signal_counts(self, counts: dict[str, int]) -> None:
-        """Show how many targets ask for what."""
+        """Update the metric of targets that send each signal."""
         for signal, count in counts.items():
             self._metrics.gauge("targets_asking", float(count), signal=signal)
 
     def record_probe(self, case: suspects_lib.Case, sign: str) -> None:
-        """Record whether a target whose connections broke still listens.
+        """Record the probe of a target whose connections broke.
 
         Args:
-            case: The target, and the requests that it had.
-            sign: What a new connection showed.
+            case: The target and its affected requests.
+            sign: Result of the probe.
         """
         self._metrics.inc("broken_targets", sign=sign)
         _log.info(
@@ -238,7 +239,7 @@
     def record_quarantined(
         self, exchange: exchange_lib.Exchange, verdict: ledger_lib.Verdict
     ) -> None:
-        """Record a request that is kept from targets."""
+        """Record the rejection of a quarantined request."""
         self._metrics.inc("held_back")
         _log.info(
             "request held back",
@@ -252,7 +253,7 @@
         self,
         exchange: exchange_lib.Exchange,
     ) -> None:
-        """Record a stream that leaves a slow target."""
+        """Record that a stream moves away from a slow target."""
         self._metrics.inc("moves")
         _log.info(
             "stream leaves target",
@@ -262,7 +263,7 @@
         )
 
     def record_timeout(self, exchange: exchange_lib.Exchange) -> None:
-        """Record a request whose time is up."""
+        """Record that the deadline of a request has passed."""
         _log.info(
             "time is up",
             id=exchange.life.ask.request_id,
@@ -277,7 +278,7 @@
         detail: str,
         version: int,
     ) -> None:
-        """Record a request that was answered without being taken in."""
+        """Record a request that was rejected before admission."""
         self._metrics.inc("turned_away", code=code.name.lower())
         _log.info(
             "request turned away",
--- a/jasperweir/components/forward/refusals.py
+++ b/jasperweir/components/forward/refusals.py
@@ -1,4 +1,4 @@
-"""Answers of an entry's own: refusals, denials, and when to come back."""
+"""Responses that an entry generates itself."""
 
 import random
 
@@ -11,7 +11,7 @@
 
 
 class Refusals:
-    """Turn result codes into answers to callers."""
+    """Sends responses for result codes."""
 
     def __init__(
         self, *, dialect: dialect_lib.Dialect, rng: random.Random
@@ -30,16 +30,16 @@
         foreseen_s: float = 0.0,
         held_s: float = 0.0,
     ) -> None:
-        """Give a caller the answer that a result code stands for.
+        """Send the response for a result code.
 
         Args:
-            answering: Way back to the caller.
-            ask: What the caller stated, None if it could not be read.
-            code: Why it is refused.
+            answering: Response channel to the caller.
+            ask: Metadata from the request's headers, None if malformed.
+            code: The result code.
             now: Monotonic seconds.
-            outage: Whether all targets of its service refuse at present.
-            foreseen_s: Seconds after which a place was foreseen.
-            held_s: Seconds for which the request is kept from targets.
+            outage: Whether all targets of the service refuse requests.
+            foreseen_s: Expected wait for a slot, seconds.
+            held_s: Remaining quarantine time of the request, seconds.
         """
         row = result_codes.TABLE[code]
         headers = self._dialect.own_headers(ask)
--- a/jasperweir/components/forward/startup_grace.py
+++ b/jasperweir/components/forward/startup_grace.py
@@ -1,19 +1,19 @@
-"""How long an entry that has just started keeps requests; sans-I/O.
+"""Queueing of requests shortly after the start of an entry; sans-I/O.
 
-After a loss of all power callers come to entries that have no configuration
-and know no targets for another half a second. Who is refused comes back a
-second or two later, has no further try, and meets everybody else who was
-refused. Who is kept is served as soon as targets are there.
+After a power loss callers reach entries that have no configuration and know
+no targets for another half second. Rejected requests would all return
+together a second or two later, on their last attempt. Requests that are kept
+waiting are sent as soon as targets are announced.
 """
 
 from jasperweir.components.balance import const
 
 
 class StartupGrace:
-    """What an entry may expect of itself soon after its start."""
+    """Grace period in which an entry queues requests that it would reject."""
 
     def __init__(self, *, started_at: float) -> None:
-        """Begin.
+        """Initialize the period.
 
         Args:
             started_at: When the process started, monotonic seconds.
@@ -21,20 +21,19 @@
         self._started_at = started_at
 
     def is_active(self, now: float) -> bool:
-        """Tell whether what the entry lacks is about to come."""
+        """Return whether the grace period lasts."""
         return now - self._started_at < const.START_SECONDS
 
     def compute_deadline(self, now: float, patience_s: float | None) -> float:
-        """Return until when a request that arrives now may be kept.
+        """Return until when a request that arrives now may be kept waiting.
 
         Args:
             now: Monotonic seconds.
-            patience_s: How long its caller waits, None if it does not state
-                it.
+            patience_s: How long its caller waits, seconds; None if not stated.
 
         Returns:
-            Monotonic seconds; ``now`` if it is to be refused at once, since
-            what is missing is not about to come.
+            Monotonic seconds; ``now`` after the grace period, when the
+            request is rejected at once.
         """
         if not self.is_active(now):
             return now
--- a/jasperweir/components/forward/stragglers.py
+++ b/jasperweir/components/forward/stragglers.py
@@ -1,7 +1,7 @@
-"""Which streams should leave a target that has become slow.
+"""Selection of streams to move away from slow targets.
 
-The ranks of a group make each pass together, so what one slow rank still runs
-holds up the streams of all others until it has ended.
+The ranks of a group make each pass together, so the streams of one slow rank
+delay those of all other ranks.
 """
 
 from collections.abc import Iterable
@@ -18,7 +18,7 @@
     directory: directory_lib.Directory,
     now: float,
 ) -> list[exchange_lib.Exchange]:
-    """Return the open requests that are to go on at another target."""
+    """Return the open requests that should continue at another target."""
     out = []
     for exchange in exchanges:
         target = directory.get(exchange.target_id)
