--- a/jasperweir/components/forward/admission.py
+++ b/jasperweir/components/forward/admission.py
@@ -114,21 +114,25 @@
         """Queue a request until a target is available, or reject it."""
         life = exchange.life
         ahead = len(self._queues.get(exchange.service).gate)
-        opens_s = self._targets.seconds_until_available(
+        available_in_s = self._targets.seconds_until_available(
             exchange.service, life.tried_target_ids, ahead, now
         )
-        if life.tried_target_ids and math.isinf(opens_s):
+        if life.tried_target_ids and math.isinf(available_in_s):
             exchange.fail(Code.TARGETS_REFUSED)
             return
-        if math.isinf(opens_s):
+        if math.isinf(available_in_s):
             if not self.wait_for_targets(exchange):
                 exchange.fail(Code.NO_TARGET)
             return
-        in_time = life.expect_wait(opens_s)
-        if self.stopping or not in_time or now + opens_s >= life.waits_until:
+        in_time = life.expect_wait(available_in_s)
+        if (
+            self.stopping
+            or not in_time
+            or now + available_in_s >= life.waits_until
+        ):
             exchange.fail(Code.BACKPRESSURE)
             return
-        self._enqueue(exchange, now, now + opens_s)
+        self._enqueue(exchange, now, now + available_in_s)
 
     def _wait_during_startup(self, exchange: exchange_lib.Exchange) -> bool:
         """Queue a request if this entry has just started.
--- a/jasperweir/components/forward/capacity.py
+++ b/jasperweir/components/forward/capacity.py
@@ -61,14 +61,14 @@
             limit: Limit on the streams of the service's group, if there is one.
             now: Monotonic seconds.
         """
-        near = self._neighbours.home(targets, self._rng.random())
-        if len(near) == len(targets):
-            return self._count_capacity(near, limit, self.entry_count, now)
-        found = self._count_capacity(
-            near, limit, 1 + len(self._neighbours.peers), now
+        nearby = self._neighbours.home(targets, self._rng.random())
+        if len(nearby) == len(targets):
+            return self._count_capacity(nearby, limit, self.entry_count, now)
+        candidates = self._count_capacity(
+            nearby, limit, 1 + len(self._neighbours.peers), now
         )
-        if found.free_slots >= 1:
-            return found
+        if candidates.free_slots >= 1:
+            return candidates
         return self._count_capacity(targets, limit, self.entry_count, now)
 
     def update_limit(
@@ -82,8 +82,8 @@
         Returns:
             Mean number of open requests of these targets.
         """
-        near = self._neighbours.home(targets, self._rng.random())
-        streams = self.count_open(near, now) / max(len(near), 1)
+        nearby = self._neighbours.home(targets, self._rng.random())
+        streams = self.count_open(nearby, now) / max(len(nearby), 1)
         limit.update(streams, now)
         return streams
 
@@ -91,24 +91,27 @@
         self,
         targets: list[records.Target],
         limit: passes_lib.PassLimit | None,
-        entries: int,
+        entry_count: int,
         now: float,
     ) -> Candidates:
         """Return some targets with their free slots, given who shares them."""
         loads = self._balancer.loads(targets, now)
-        places = loads.free
-        if limit is not None and places >= 1:
-            most = limit.streams(now) * len(targets)
-            if math.isfinite(most):
-                places = min(places, int(most) - loads.open)
-        late = late_lib.most_open(
+        free_slots = loads.free
+        if limit is not None and free_slots >= 1:
+            max_streams = limit.streams(now) * len(targets)
+            if math.isfinite(max_streams):
+                free_slots = min(free_slots, int(max_streams) - loads.open)
+        max_open = late_lib.most_open(
             slots=sum(target.slots for target in targets),
             targets=len(targets),
             limit=limit,
             now=now,
         )
         return Candidates(
-            targets, places, min(places, late - loads.open), entries
+            targets,
+            free_slots,
+            min(free_slots, max_open - loads.open),
+            entry_count,
         )
 
     def count_open(self, targets: list[records.Target], now: float) -> int:
--- a/jasperweir/components/forward/early_requests.py
+++ b/jasperweir/components/forward/early_requests.py
@@ -42,20 +42,20 @@
         now: float,
         *,
         accept: Callable[[EarlyRequest], bool],
-        refuse: Callable[[EarlyRequest], None],
+        reject: Callable[[EarlyRequest], None],
     ) -> None:
         """Admit buffered requests and reject those whose deadline has passed.
 
         Args:
             now: Monotonic seconds.
             accept: Admits a request; returns False if it must stay buffered.
-            refuse: Rejects a request whose deadline has passed.
+            reject: Rejects a request whose deadline has passed.
         """
-        kept, self._requests = self._requests, []
-        for early in kept:
+        requests, self._requests = self._requests, []
+        for early in requests:
             if early.answering.done or accept(early):
                 continue
             if now < early.deadline:
                 self._requests.append(early)
             else:
-                refuse(early)
+                reject(early)
--- a/jasperweir/components/forward/end_watch.py
+++ b/jasperweir/components/forward/end_watch.py
@@ -100,20 +100,20 @@
         sent_at: float,
     ) -> None:
         """Record a request whose connection broke before its response ended."""
-        known = self._directory.get(target.target_id)
-        if known is None or known.presence is not records.Presence.READY:
+        current = self._directory.get(target.target_id)
+        if current is None or current.presence is not records.Presence.READY:
             # A target that is shutting down closes connections by itself.
             return
         found = fingerprint.of(_subject(exchange))
         now = self._clock.monotonic()
-        broken = suspects_lib.Try(exchange.life.ask.request_id, sent_at, now)
-        if not self._suspects.on_broken(target, found, broken):
+        attempt = suspects_lib.Try(exchange.life.ask.request_id, sent_at, now)
+        if not self._suspects.on_broken(target, found, attempt):
             return
-        check = asyncio.get_running_loop().create_task(
+        task = asyncio.get_running_loop().create_task(
             self._check_target(target)
         )
-        self._checks.add(check)
-        check.add_done_callback(self._checks.discard)
+        self._checks.add(task)
+        task.add_done_callback(self._checks.discard)
 
     def on_response(self, target: records.Target, sent_at: float) -> None:
         """Record that a target responded to a request sent at a given time."""
@@ -159,10 +159,10 @@
     def _add_marks(self, case: suspects_lib.Case) -> None:
         now = self._clock.monotonic()
         incarnation = _incarnation(case.target)
-        for found, broken in case.suspects.items():
+        for found, attempt in case.suspects.items():
             run = ledger_lib.Run(
-                ended_s=now - broken.broke_at,
-                took_s=broken.broke_at - broken.began_at,
+                ended_s=now - attempt.broke_at,
+                took_s=attempt.broke_at - attempt.began_at,
             )
             self._publish(self.ledger.add(found, incarnation, now, run))
 
--- a/jasperweir/components/forward/events.py
+++ b/jasperweir/components/forward/events.py
@@ -25,20 +25,20 @@
             if len(self._buffer) <= const.MAX_EVENT_BYTES:
                 return b""
             end = len(self._buffer)
-        whole, self._buffer = self._buffer[:end], self._buffer[end:]
-        self._update_last_id(whole)
-        return whole
+        complete, self._buffer = self._buffer[:end], self._buffer[end:]
+        self._update_last_id(complete)
+        return complete
 
     def flush(self) -> bytes:
         """Return the remaining bytes after a regular end of the stream."""
         rest, self._buffer = self._buffer, b""
         return rest
 
-    def _update_last_id(self, whole: bytes) -> None:
-        at = whole.rfind(b"id:")
-        while at > 0 and whole[at - 1 : at] != b"\n":
-            at = whole.rfind(b"id:", 0, at)
-        if at < 0:
+    def _update_last_id(self, events: bytes) -> None:
+        start = events.rfind(b"id:")
+        while start > 0 and events[start - 1 : start] != b"\n":
+            start = events.rfind(b"id:", 0, start)
+        if start < 0:
             return
-        line = whole[at + 3 :].split(b"\n", 1)[0]
+        line = events[start + 3 :].split(b"\n", 1)[0]
         self.last_id = line.strip().decode("latin-1")
--- a/jasperweir/components/forward/exchange.py
+++ b/jasperweir/components/forward/exchange.py
@@ -43,7 +43,7 @@
         self,
         *,
         number: int,
-        owner: "forwarder_lib.Forwarder",
+        forwarder: "forwarder_lib.Forwarder",
         answering: http_server.Answering,
         life: life_lib.Life,
         service: str,
@@ -52,7 +52,7 @@
         self.service = service
         self.life = life
         self.done = False
-        self._forwarder = owner
+        self._forwarder = forwarder
         self.answering = answering
         self._target: records.Target | None = None
         self._conn: http_client.ClientConnection | None = None
@@ -68,7 +68,7 @@
         self.first_byte_at = 0.0
         self.longest_gap_s = 0.0
         loop = asyncio.get_running_loop()
-        left_s = life.remaining_s(owner.now())
+        left_s = life.remaining_s(forwarder.now())
         self._timer = loop.call_later(left_s, self._on_timeout)
         answering.on_gone = self._on_caller_disconnected
 
@@ -89,10 +89,10 @@
         self._target = target
         self._forwarder.balancer.begin(target.target_id)
         self._holds_slot = True
-        longest_rest = math.inf
+        max_idle_s = math.inf
         if not self.life.match.route.idempotent:
-            longest_rest = const.MAX_IDLE_SECONDS
-        conn = self._forwarder.pool.take(_pool_key(target), longest_rest)
+            max_idle_s = const.MAX_IDLE_SECONDS
+        conn = self._forwarder.pool.take(_pool_key(target), max_idle_s)
         if conn is not None:
             self._send_request(conn)
             return
@@ -124,21 +124,21 @@
             self._release_slot()
             self._apply(life.on_target_unavailable(self._target.target_id))
             return
-        patience = life.remaining_s(now) - const.RESPONSE_MARGIN_SECONDS
-        if patience < const.MIN_ATTEMPT_SECONDS:
+        patience_s = life.remaining_s(now) - const.RESPONSE_MARGIN_SECONDS
+        if patience_s < const.MIN_ATTEMPT_SECONDS:
             self._forwarder.pool.give(_pool_key(self._target), conn)
             self._release_slot()
             self._apply(life.on_timeout(at_target=False))
             return
-        sent = dialect_lib.Dispatch(
+        dispatch = dialect_lib.Dispatch(
             target_id=self._target.target_id,
-            patience_s=patience,
+            patience_s=patience_s,
             priority=min(life.match.priority, 9),
             customer=life.customer_name,
             resume_after=life.last_event_id,
         )
         req = self.request
-        headers = self._forwarder.dialect.dispatch(req, sent)
+        headers = self._forwarder.dialect.dispatch(req, dispatch)
         if req.body or req.method not in (b"GET", b"HEAD"):
             headers.append((b"content-length", b"%d" % len(req.body)))
         line = req.method + b" " + req.target + b" HTTP/1.1"
@@ -155,17 +155,22 @@
         Returns:
             False if the response belongs to another request.
         """
-        found = self._forwarder.dialect.target_head(head)
-        if found.request_id and found.request_id != self.life.ask.request_id:
+        target_head = self._forwarder.dialect.target_head(head)
+        if (
+            target_head.request_id
+            and target_head.request_id != self.life.ask.request_id
+        ):
             return False
         now = self._forwarder.now()
-        if found.load is not None:
-            self._forwarder.balancer.on_report(self.target_id, found.load, now)
-        if self._target is not None and not found.other_target:
+        if target_head.load is not None:
+            self._forwarder.balancer.on_report(
+                self.target_id, target_head.load, now
+            )
+        if self._target is not None and not target_head.other_target:
             self._forwarder.notes.on_signals(
-                self._target, found.signals, self._sent_at
+                self._target, target_head.signals, self._sent_at
             )
-        fault = self.life.classify_response(head.status, found)
+        fault = self.life.classify_response(head.status, target_head)
         if fault is not None:
             hard = fault is Fault.REPLACED
             self._on_fault(fault, f"status {head.status}", hard=hard)
@@ -193,12 +198,12 @@
         if not self.first_byte_at:
             self.first_byte_at = self._forwarder.now()
         if self._is_event_stream:
-            whole = self._splitter.feed(data)
-            if whole:
+            events = self._splitter.feed(data)
+            if events:
                 self._record_gap()
                 self.life.last_event_id = self._splitter.last_id
                 self._start_response(None)
-                self.answering.send(whole)
+                self.answering.send(events)
             return
         if self.life.response_started:
             self.answering.send(data)
@@ -305,16 +310,16 @@
         self._release_target()
         self.life.on_moved()
 
-    def _apply(self, verdict: life_lib.Decision) -> None:
-        match verdict:
+    def _apply(self, decision: life_lib.Decision) -> None:
+        match decision:
             case life_lib.Retry():
                 self._forwarder.retry(self)
             case life_lib.Fail():
-                if not self._try_wait(verdict.code):
-                    self.reject(verdict.code)
+                if not self._try_wait(decision.code):
+                    self.reject(decision.code)
             case life_lib.Abort():
                 self.answering.abort()
-                self._finish(f"broken off: {verdict.reason}")
+                self._finish(f"broken off: {decision.reason}")
 
     def fail(self, code: Code) -> None:
         """End the request without trying another target."""
--- a/jasperweir/components/forward/forwarder.py
+++ b/jasperweir/components/forward/forwarder.py
@@ -173,19 +173,19 @@
     ) -> None:
         """Buffer a request until a configuration has arrived."""
         now = self.now()
-        until = self._startup_grace.compute_deadline(now, ask.patience_s)
+        deadline = self._startup_grace.compute_deadline(now, ask.patience_s)
         if ask.resume_after:
-            until = now + balance_const.RESUMED_WAIT_SECONDS
-        many = len(self._early_requests) >= balance_const.START_KEPT_MOST
-        if self.stopping or many or until <= now:
+            deadline = now + balance_const.RESUMED_WAIT_SECONDS
+        is_full = len(self._early_requests) >= balance_const.START_KEPT_MOST
+        if self.stopping or is_full or deadline <= now:
             self._turn_away_request(
                 answering, ask, Code.NOT_READY, "no configuration"
             )
             return
         self._early_requests.add(
-            early_requests.EarlyRequest(answering, ask, now, until)
+            early_requests.EarlyRequest(answering, ask, now, deadline)
         )
-        self._recorder.record_buffered(ask, until - now)
+        self._recorder.record_buffered(ask, deadline - now)
         self.on_work()
 
     def _accept_early(self, early: early_requests.EarlyRequest) -> bool:
@@ -196,7 +196,7 @@
             early.ask,
             self.index,
             early.arrived_at,
-            kept_until=early.deadline,
+            startup_deadline=early.deadline,
         )
         return True
 
@@ -211,7 +211,7 @@
         ask: dialect_lib.Ask,
         index: index_lib.Index,
         arrived: float,
-        kept_until: float = float("-inf"),
+        startup_deadline: float = float("-inf"),
     ) -> None:
         match = matching.match_request(index, answering.request, ask)
         if isinstance(match, matching.Denial):
@@ -224,10 +224,10 @@
         service = match.route.draw_service(self._rng)
         used_s = self._patience.used(match.route, ask.patience_s)
         life = life_lib.Life(match=match, ask=ask, now=arrived, used_s=used_s)
-        life.startup_deadline = kept_until
+        life.startup_deadline = startup_deadline
         exchange = exchange_lib.Exchange(
             number=next(self._exchange_numbers),
-            owner=self,
+            forwarder=self,
             answering=answering,
             life=life,
             service=service,
@@ -280,16 +280,16 @@
     ) -> None:
         if self.ends.reject_if_quarantined(exchange, now):
             return
-        tried = exchange.life.tried_target_ids
+        tried_target_ids = exchange.life.tried_target_ids
         # Requests sent since the slots were counted may have closed a target.
-        near = self.targets.filter_available(
+        available = self.targets.filter_available(
             candidates.targets, exchange.service, now
         )
-        target = self.balancer.choose(near, tried, now)
+        target = self.balancer.choose(available, tried_target_ids, now)
         if target is None:
             # All nearby targets have been tried.
             targets = self.targets.list_available(exchange.service, now)
-            target = self.balancer.choose(targets, tried, now)
+            target = self.balancer.choose(targets, tried_target_ids, now)
         if target is None:
             self.admission.wait_for_available_target(exchange, now)
             return
@@ -298,10 +298,10 @@
         self._recorder.record_choice(
             exchange,
             target,
-            at_target=self.balancer.count_at(target_id, now),
-            unknown=self.balancer.unknown_at(target_id, now),
-            free=candidates.free_slots,
-            targets=len(candidates.targets),
+            open_requests=self.balancer.count_at(target_id, now),
+            unreported=self.balancer.unknown_at(target_id, now),
+            free_slots=candidates.free_slots,
+            candidate_count=len(candidates.targets),
             rest_left_s=self.targets.asked.rest_left_s(target, now),
             now=now,
         )
@@ -344,7 +344,7 @@
         self.pass_monitor.tick(now)
         if len(self._early_requests):
             self._early_requests.release(
-                now, accept=self._accept_early, refuse=self._reject_early
+                now, accept=self._accept_early, reject=self._reject_early
             )
         for service in self._queues.list_waiting_services():
             self._serve_queue(service, now)
@@ -355,14 +355,14 @@
         gate = self._queues.get(service).gate
         targets = self.targets.list_available(service, now)
         candidates = self._find_candidates(service, targets, now)
-        starts = self._startup_grace.is_active(now)
-        given = self._queues.count_admissible(
-            service, candidates, now, starts=starts
+        is_starting = self._startup_grace.is_active(now)
+        admissible = self._queues.count_admissible(
+            service, candidates, now, is_starting=is_starting
         )
         # Late requests yield slots to timely ones only during startup. In any
         # other overload this costs more rejections than it avoids.
-        yielding = given.yielding if starts else None
-        for number in gate.admit(given.total, now, yielding=yielding):
+        yielding = admissible.yielding if is_starting else None
+        for number in gate.admit(admissible.total, now, yielding=yielding):
             exchange = self._open_exchanges.get(number)
             if exchange is not None:
                 self._send_within_budget(exchange, candidates, now)
@@ -377,8 +377,8 @@
         candidates: capacity_lib.Candidates,
         now: float,
     ) -> None:
-        arrived = exchange.life.deliveries > 0
-        if arrived and not self._take_retry(exchange.service, now):
+        is_retry = exchange.life.deliveries > 0
+        if is_retry and not self._take_retry(exchange.service, now):
             exchange.fail(Code.TARGETS_REFUSED)
             return
         self._choose_and_send(exchange, candidates, now)
@@ -472,8 +472,8 @@
             code,
             now,
             outage=self._outages.of(exchange.service).lasts(now),
-            foreseen_s=exchange.life.expected_wait_s,
-            held_s=self.ends.find_verdict(exchange, now).held_s,
+            expected_wait_s=exchange.life.expected_wait_s,
+            quarantine_s=self.ends.find_verdict(exchange, now).held_s,
         )
 
     def _turn_away_request(
--- a/jasperweir/components/forward/life.py
+++ b/jasperweir/components/forward/life.py
@@ -92,11 +92,11 @@
         self.ask = ask
         self.arrived = now
         self.asked_at = now - used_s
-        patience = ask.patience_s
-        if patience is None:
-            patience = const.DEFAULT_DEADLINE_SECONDS
-        self.caller_deadline = now + patience
-        self.deadline = now + min(patience, match.route.timeout_s)
+        patience_s = ask.patience_s
+        if patience_s is None:
+            patience_s = const.DEFAULT_DEADLINE_SECONDS
+        self.caller_deadline = now + patience_s
+        self.deadline = now + min(patience_s, match.route.timeout_s)
         self.attempts = 0
         self.deliveries = 0
         self.undelivered = 0
@@ -160,19 +160,19 @@
     def waits_until(self) -> float:
         """When the request is rejected without a slot, monotonic seconds."""
         target_s = self.match.route.target_s
-        least_s = balance_const.WAIT_LEAST_SECONDS
+        min_wait_s = balance_const.WAIT_LEAST_SECONDS
         if self.is_resumed:
-            wait = balance_const.RESUMED_WAIT_SECONDS
+            wait_s = balance_const.RESUMED_WAIT_SECONDS
         elif self.is_last_try:
-            left = self.remaining_s(self.arrived)
-            wait = min(
+            remaining_s = self.remaining_s(self.arrived)
+            wait_s = min(
                 balance_const.RETURNED_WAIT_SHARE * target_s,
-                balance_const.RETURNED_WAIT_MOST_SHARE * left,
+                balance_const.RETURNED_WAIT_MOST_SHARE * remaining_s,
             )
         else:
             usual_s = balance_const.FORECAST_FACTOR * self.expected_wait_s
-            wait = min(self.max_wait_s, max(usual_s, least_s))
-        return max(self.arrived + wait, self.startup_deadline)
+            wait_s = min(self.max_wait_s, max(usual_s, min_wait_s))
+        return max(self.arrived + wait_s, self.startup_deadline)
 
     def remaining_s(self, now: float) -> float:
         """Return the time left for the response, seconds."""
--- a/jasperweir/components/forward/notes.py
+++ b/jasperweir/components/forward/notes.py
@@ -49,13 +49,13 @@
     def on_signals(
         self,
         target: records.Target,
-        told: signals_lib.Signals,
+        signals: signals_lib.Signals,
         sent_at: float,
     ) -> None:
         """Handle the backpressure signals in a response head."""
         now = self._clock.monotonic()
-        changes = self._targets.asked.on_answer(target, told, now, sent_at)
-        self._recorder.record_signals(target, told, changes)
+        changes = self._targets.asked.on_answer(target, signals, now, sent_at)
+        self._recorder.record_signals(target, signals, changes)
         if asked_lib.Change.LEAVES in changes:
             self.on_leaving(target)
 
@@ -71,13 +71,13 @@
         if fault is life_lib.Fault.REPLACED:
             self.on_replaced(target)
         # Backpressure of one target does not indicate an outage of its service.
-        rests = self._targets.asked.bars(target, now)
-        if fault is life_lib.Fault.NOT_RUN and not rests:
+        is_resting = self._targets.asked.bars(target, now)
+        if fault is life_lib.Fault.NOT_RUN and not is_resting:
             self._targets.asked.on_refused(target, now)
-            needed = const.OUTAGE_REFUSALS
+            threshold = const.OUTAGE_REFUSALS
             if self._startup_grace.is_active(now):
-                needed = const.START_REFUSALS
-            if self._outages.of(exchange.service).on_refusal(now, needed):
+                threshold = const.START_REFUSALS
+            if self._outages.of(exchange.service).on_refusal(now, threshold):
                 self._recorder.record_outage(exchange.service, begins=True)
         at_target = self._balancer.count_at(target.target_id, now)
         self._recorder.record_fault(exchange, target, fault, reason, at_target)
@@ -97,9 +97,11 @@
         self, exchange: exchange_lib.Exchange, sent_at: float
     ) -> None:
         """Handle a complete response of a target."""
-        took_s = self._clock.monotonic() - sent_at
-        first_s = max(exchange.first_byte_at - sent_at, 0.0)
-        self._queues.get(exchange.service).forecast.on_end(took_s, first_s)
+        duration_s = self._clock.monotonic() - sent_at
+        first_byte_s = max(exchange.first_byte_at - sent_at, 0.0)
+        self._queues.get(exchange.service).forecast.on_end(
+            duration_s, first_byte_s
+        )
 
     def on_timeout(self, exchange: exchange_lib.Exchange) -> None:
         """Handle a request whose deadline has passed."""
--- a/jasperweir/components/forward/pass_monitor.py
+++ b/jasperweir/components/forward/pass_monitor.py
@@ -38,15 +38,15 @@
         targets = self._directory.serving(service, now)
         streams = self._capacity.update_limit(targets, limit, now)
         self._recorder.record_pass(service, limit.pass_s, streams)
-        most = limit.streams(now)
-        is_full = streams >= most
-        if is_full == (service in self._saturated_services):
+        max_streams = limit.streams(now)
+        is_saturated = streams >= max_streams
+        if is_saturated == (service in self._saturated_services):
             return
         self._saturated_services.symmetric_difference_update({service})
         self._recorder.record_saturation(
             service,
-            begins=is_full,
+            begins=is_saturated,
             pass_s=limit.pass_s,
             streams=streams,
-            most=most,
+            max_streams=max_streams,
         )
--- a/jasperweir/components/forward/queues.py
+++ b/jasperweir/components/forward/queues.py
@@ -109,8 +109,8 @@
             # The caller cannot retry a partial response again, so the rest is
             # worth sending however late it is.
             return math.inf
-        ends_in_time = life.asked_at + life.match.route.target_s
-        return ends_in_time - self.get(exchange.service).forecast.first_s
+        target_end = life.asked_at + life.match.route.target_s
+        return target_end - self.get(exchange.service).forecast.first_s
 
     def count_admissible(
         self,
@@ -118,7 +118,7 @@
         candidates: capacity_lib.Candidates,
         now: float,
         *,
-        starts: bool = False,
+        is_starting: bool = False,
     ) -> forecast_lib.Part:
         """Return how many waiting requests may be sent now.
 
@@ -126,36 +126,40 @@
             service: Their service.
             candidates: Targets that they may be sent to.
             now: Monotonic seconds.
-            starts: Whether this entry, and so probably the targets, has just
-                started.
+            is_starting: Whether this entry, and so probably its targets, has
+                just started.
         """
-        if self._is_in_outage(service, now, starts=starts):
+        if self._is_in_outage(service, now, is_starting=is_starting):
             probes = int(
                 candidates.free_slots >= 1
-                and self._take_probe(service, now, starts)
+                and self._take_probe(service, now, is_starting)
             )
             return forecast_lib.Part(timely=0, late=probes, yielding=probes)
-        others = self._balancer.queue_elsewhere(service, now)
+        other_queues = self._balancer.queue_elsewhere(service, now)
         # The queues of entries outside the own cell are unknown.
-        known = 1 + len(self._neighbours.peers)
-        seen = min(1.0, known / max(candidates.entry_count, 1))
-        own = self._summarize(service, now)
+        known_entries = 1 + len(self._neighbours.peers)
+        known_share = min(1.0, known_entries / max(candidates.entry_count, 1))
+        own_queue = self._summarize(service, now)
         return forecast_lib.part(
-            candidates.free_slots * seen,
-            own,
-            others,
+            candidates.free_slots * known_share,
+            own_queue,
+            other_queues,
             self._rng,
-            late_places=candidates.late_slots * seen,
+            late_places=candidates.late_slots * known_share,
         )
 
-    def _is_in_outage(self, service: str, now: float, *, starts: bool) -> bool:
+    def _is_in_outage(
+        self, service: str, now: float, *, is_starting: bool
+    ) -> bool:
         """Return whether all targets of a service refuse requests."""
         outage = self._outages.of(service)
-        return outage.lasts(now) and not (starts and outage.seems_over(now))
+        return outage.lasts(now) and not (
+            is_starting and outage.seems_over(now)
+        )
 
-    def _take_probe(self, service: str, now: float, starts: bool) -> bool:
+    def _take_probe(self, service: str, now: float, is_starting: bool) -> bool:
         outage = self._outages.of(service)
-        if starts:
+        if is_starting:
             return outage.take_probe(now, balance_const.START_PROBE_SECONDS)
         return outage.take_probe(now)
 
--- a/jasperweir/components/forward/recorder.py
+++ b/jasperweir/components/forward/recorder.py
@@ -28,10 +28,10 @@
         exchange: exchange_lib.Exchange,
         target: records.Target,
         *,
-        at_target: int,
-        unknown: int,
-        free: int,
-        targets: int,
+        open_requests: int,
+        unreported: int,
+        free_slots: int,
+        candidate_count: int,
         rest_left_s: float,
         now: float,
     ) -> None:
@@ -40,10 +40,10 @@
         Args:
             exchange: The request.
             target: The chosen target.
-            at_target: Known open requests at the target.
-            unknown: Those of them that no entry has reported.
-            free: Free slots at the candidate targets.
-            targets: Number of candidate targets.
+            open_requests: Known open requests at the target.
+            unreported: Those of them that no entry has reported.
+            free_slots: Free slots at the candidate targets.
+            candidate_count: Number of candidate targets.
             rest_left_s: Time left of the pause that the target asked for,
                 seconds.
             now: Monotonic seconds.
@@ -53,10 +53,10 @@
             "target chosen",
             id=life.ask.request_id,
             target=target.target_id,
-            open=at_target,
-            unknown=unknown,
-            free=free,
-            targets=targets,
+            open=open_requests,
+            unknown=unreported,
+            free=free_slots,
+            targets=candidate_count,
             rest_left_ms=round(rest_left_s * 1000),
             waited_ms=round((now - life.arrived) * 1000),
             sends=life.attempts,
@@ -76,13 +76,13 @@
             until_ms=round((life.waits_until - now) * 1000),
         )
 
-    def record_buffered(self, ask: dialect_lib.Ask, seconds: float) -> None:
+    def record_buffered(self, ask: dialect_lib.Ask, wait_s: float) -> None:
         """Record that a request waits for a configuration."""
         self._metrics.inc("kept_without_configuration")
         _log.info(
             "request kept without configuration",
             id=ask.request_id,
-            until_ms=round(seconds * 1000),
+            until_ms=round(wait_s * 1000),
         )
 
     def record_saturation(
@@ -92,7 +92,7 @@
         begins: bool,
         pass_s: float,
         streams: float,
-        most: float,
+        max_streams: float,
     ) -> None:
         """Record that the pass time starts or stops to block new streams.
 
@@ -101,7 +101,7 @@
             begins: Whether new streams are blocked from now on.
             pass_s: Smoothed time of a pass, seconds.
             streams: Open streams per target.
-            most: Maximum number of streams per target.
+            max_streams: Maximum number of streams per target.
         """
         if begins:
             self._metrics.inc("passes_too_long", service=service)
@@ -110,7 +110,7 @@
             service=service,
             pass_ms=round(pass_s * 1000),
             streams=round(streams, 2),
-            limit=round(most, 2) if math.isfinite(most) else None,
+            limit=round(max_streams, 2) if math.isfinite(max_streams) else None,
         )
 
     def record_pass(self, service: str, pass_s: float, streams: float) -> None:
@@ -141,13 +141,15 @@
     ) -> None:
         """Record the outcome of a request."""
         life = exchange.life
-        first = exchange.first_byte_at
+        first_byte_at = exchange.first_byte_at
         self._metrics.inc(
             "requests", route=life.match.route.name, outcome=outcome
         )
         self._metrics.observe("request_seconds", now - life.arrived)
-        if first:
-            self._metrics.observe("first_byte_seconds", first - life.arrived)
+        if first_byte_at:
+            self._metrics.observe(
+                "first_byte_seconds", first_byte_at - life.arrived
+            )
         _log.info(
             "request ended",
             id=life.ask.request_id,
@@ -158,7 +160,9 @@
             sends=life.attempts,
             outcome=outcome,
             version=version,
-            first_ms=round((first - life.arrived) * 1000) if first else -1,
+            first_ms=round((first_byte_at - life.arrived) * 1000)
+            if first_byte_at
+            else -1,
             gap_ms=round(exchange.longest_gap_s * 1000),
             total_ms=round((now - life.arrived) * 1000),
             used_ms=round((life.arrived - life.asked_at) * 1000),
@@ -172,7 +176,7 @@
         target: records.Target,
         fault: life_lib.Fault,
         reason: str,
-        at_target: int,
+        open_requests: int,
     ) -> None:
         """Record an attempt that brought no usable response."""
         self._metrics.inc("faults", fault=fault.value)
@@ -183,13 +187,13 @@
             address=target.address,
             fault=fault.value,
             reason=reason,
-            open=at_target,
+            open=open_requests,
         )
 
     def record_signals(
         self,
         target: records.Target,
-        told: signals_lib.Signals,
+        signals: signals_lib.Signals,
         changes: list[asked_lib.Change],
     ) -> None:
         """Record changed backpressure signals of a target."""
@@ -199,9 +203,9 @@
                 f"target {change.value}",
                 target=target.target_id,
                 address=target.address,
-                rest_s=told.rest_s,
-                limit_per_s=told.limit_per_s,
-                unreadable=list(told.unreadable),
+                rest_s=signals.rest_s,
+                limit_per_s=signals.limit_per_s,
+                unreadable=list(signals.unreadable),
             )
 
     def record_recovery(self, target: records.Target) -> None:
@@ -217,19 +221,19 @@
         for signal, count in counts.items():
             self._metrics.gauge("targets_asking", float(count), signal=signal)
 
-    def record_probe(self, case: suspects_lib.Case, sign: str) -> None:
+    def record_probe(self, case: suspects_lib.Case, result: str) -> None:
         """Record the probe of a target whose connections broke.
 
         Args:
             case: The target and its affected requests.
-            sign: Result of the probe.
+            result: Result of the probe.
         """
-        self._metrics.inc("broken_targets", sign=sign)
+        self._metrics.inc("broken_targets", sign=result)
         _log.info(
             "target checked",
             target=case.target.target_id,
             address=case.target.address,
-            sign=sign,
+            sign=result,
             requests={
                 found.label: broken.request_id
                 for found, broken in case.suspects.items()
--- a/jasperweir/components/forward/refusals.py
+++ b/jasperweir/components/forward/refusals.py
@@ -27,8 +27,8 @@
         now: float,
         *,
         outage: bool = False,
-        foreseen_s: float = 0.0,
-        held_s: float = 0.0,
+        expected_wait_s: float = 0.0,
+        quarantine_s: float = 0.0,
     ) -> None:
         """Send the response for a result code.
 
@@ -38,26 +38,26 @@
             code: The result code.
             now: Monotonic seconds.
             outage: Whether all targets of the service refuse requests.
-            foreseen_s: Expected wait for a slot, seconds.
-            held_s: Remaining quarantine time of the request, seconds.
+            expected_wait_s: Expected wait for a slot, seconds.
+            quarantine_s: Remaining quarantine time of the request, seconds.
         """
         row = result_codes.TABLE[code]
         headers = self._dialect.own_headers(ask)
         headers.append((b"jasperweir-code", b"%d" % int(code)))
         if row.http == 503:
-            back_s = held_s or self._compute_retry_after_s(
-                code, now, outage=outage, foreseen_s=foreseen_s
+            retry_after_s = quarantine_s or self._compute_retry_after_s(
+                code, now, outage=outage, expected_wait_s=expected_wait_s
             )
-            headers.append((b"retry-after", b"%.3f" % back_s))
+            headers.append((b"retry-after", b"%.3f" % retry_after_s))
         answering.reply(row.http, headers, b"")
 
     def _compute_retry_after_s(
-        self, code: Code, now: float, *, outage: bool, foreseen_s: float
+        self, code: Code, now: float, *, outage: bool, expected_wait_s: float
     ) -> float:
         if code is Code.NOT_READY:
             return self._advice.while_starting()
         if code is Code.BACKPRESSURE:
-            return self._advice.after_rest(foreseen_s)
+            return self._advice.after_rest(expected_wait_s)
         if outage or code is Code.NO_TARGET:
             return self._advice.during_outage()
-        return self._advice.after_refusal(now, foreseen_s)
+        return self._advice.after_refusal(now, expected_wait_s)
--- a/jasperweir/components/forward/stragglers.py
+++ b/jasperweir/components/forward/stragglers.py
@@ -19,11 +19,11 @@
     now: float,
 ) -> list[exchange_lib.Exchange]:
     """Return the open requests that should continue at another target."""
-    out = []
+    moving = []
     for exchange in exchanges:
         target = directory.get(exchange.target_id)
         if target is None or not exchange.can_move:
             continue
         if balancer.pace_of(target, now) >= const.MOVE_PACE:
-            out.append(exchange)
-    return out
+            moving.append(exchange)
+    return moving
--- a/script/guards.py
+++ b/script/guards.py
@@ -327,8 +327,9 @@
           "            if now < until and any(", "            if any(",
           "quarantine_ledger"),
     Guard("a target that leaves blames nobody", C + "forward/end_watch.py",
-          "if known is None or known.presence is not records.Presence.READY:",
-          "if known is None:", "quarantine_ledger"),
+          "if current is None or "
+          "current.presence is not records.Presence.READY:",
+          "if current is None:", "quarantine_ledger"),
     Guard("a whole answer voids marks", C + "quarantine/ledger.py",
           "            if not end.void:\n"
           "                new = End(at=end.at, void=True)",
--- a/script/guards_backpressure.py
+++ b/script/guards_backpressure.py
@@ -20,10 +20,10 @@
           "        return now - self.trial_at < const.TRIAL_SECONDS\n",
           "        return False\n", "backpressure"),
     Guard("each choice looks again", F + "forwarder.py",
-          "near = self.targets.filter_available(\n"
+          "available = self.targets.filter_available(\n"
           "            candidates.targets, exchange.service, now\n"
           "        )",
-          "near = candidates.targets", "backpressure"),
+          "available = candidates.targets", "backpressure"),
     Guard("a stream does not leave for a target that rests",
           F + "forwarder.py",
           "        targets = self.targets.list_available("
@@ -39,12 +39,12 @@
           F + "forwarder.py",
           "        targets = self.targets.list_available(service, now)\n"
           "        candidates = self._find_candidates(service, targets, now)\n"
-          "        starts",
+          "        is_starting",
           "        targets = self._directory.serving(service, now)\n"
           "        candidates = self._find_candidates(service, targets, now)\n"
-          "        starts", "backpressure"),
+          "        is_starting", "backpressure"),
     Guard("a refusal with a rest is no outage", F + "notes.py",
-          "if fault is life_lib.Fault.NOT_RUN and not rests:",
+          "if fault is life_lib.Fault.NOT_RUN and not is_resting:",
           "if fault is life_lib.Fault.NOT_RUN:", "backpressure"),
     Guard("a target that refuses is avoided", B + "state.py",
           "        self.avoided_until = now + min(",
@@ -67,7 +67,7 @@
           "if len(self._asked) > const.TARGETS_MAX:", "if False:",
           "backpressure"),
     Guard("signals of another target are left out", F + "exchange.py",
-          "if self._target is not None and not found.other_target:",
+          "if self._target is not None and not target_head.other_target:",
           "if self._target is not None:", "backpressure"),
     Guard("no more owners than a target bears", B + "shares.py",
           "count = min(owners(per_s), len(self._seen))",
