--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -1,4 +1,4 @@
-"""Steps on forwarding, balancing and budgets."""
+"""Steps for forwarding, load balancing and retry budgets."""
 
 import collections
 import random
@@ -55,34 +55,34 @@
     context.life.on_sent("t1")
 
 
-@when('the target shows "{fault}"')
+@when('the attempt fails with "{fault}"')
 def step_fault(context, fault):
     what = life_lib.Fault(fault)
     if what is life_lib.Fault.UNSENT:
         context.life.attempts = context.life.deliveries = 0
-    context.verdict = context.life.on_fault("t1", what, 100.1)
+    context.decision = context.life.on_fault("t1", what, 100.1)
 
 
-@when('a second target shows "{fault}"')
+@when('a second attempt fails with "{fault}"')
 def step_second(context, fault):
     context.life.on_sent("t2")
     what = life_lib.Fault(fault)
-    context.verdict = context.life.on_fault("t2", what, 100.2)
+    context.decision = context.life.on_fault("t2", what, 100.2)
 
 
-@then('the verdict is "{name}"')
-def step_verdict(context, name):
-    match context.verdict:
+@then('the decision is "{name}"')
+def step_decision(context, name):
+    match context.decision:
         case life_lib.Retry():
-            assert name == "again", "again"
+            assert name == "retry", "retry"
         case life_lib.Fail(code):
             assert code.name.lower() == name, code
         case other:
             raise AssertionError(other)
 
 
-@when("a target answers {status:d} that is {marks}")
-def step_answers(context, status, marks):
+@when("a target responds with {status:d} that is {marks}")
+def step_responds(context, status, marks):
     head = dialect.TargetHead(
         request_id="id",
         signed="unsigned" not in marks and "signed" in marks,
@@ -91,16 +91,16 @@
         encoded="encoded" in marks,
         load=None,
     )
-    context.judged = context.life.classify_response(status, head)
+    context.response_class = context.life.classify_response(status, head)
 
 
-@then('the head is judged "{name}"')
-def step_judged(context, name):
-    got = context.judged.value if context.judged else "fine"
+@then('the response is classified as "{name}"')
+def step_response_class(context, name):
+    got = context.response_class.value if context.response_class else "valid"
     assert got == name, got
 
 
-@then("a resumed request waits 1.8 s for a place and a first one 0.6 s")
+@then("a resumed request waits 1.8 s for a slot and a first attempt 0.6 s")
 def step_waits(context):
     resumed = life_of("resumable", "5")
     first = life_of("resumable")
@@ -113,9 +113,9 @@
     split(context, [text])
 
 
-@when('a stream comes as "{one}" and then as "{two}"')
-def step_split_two(context, one, two):
-    split(context, [one, two])
+@when('a stream arrives as "{first}" and then "{second}"')
+def step_split_two(context, first, second):
+    split(context, [first, second])
 
 
 def split(context, parts):
@@ -125,7 +125,7 @@
     context.last_id = splitter.last_id
 
 
-@then('{count:d} events went out and the last id is "{last}"')
+@then('{count:d} events are passed on and the last id is "{last}"')
 def step_events(context, count, last):
     assert (context.events, context.last_id) == (count, last)
 
@@ -139,39 +139,41 @@
     context.most = ratio * 20 * count + burst
 
 
-@when("each of them gets 20 requests and wants to send all again")
-def step_spend(context):
+@when("each of them gets 20 requests and retries all of them")
+def step_retry_all(context):
     context.taken = 0
-    for one in context.budgets:
+    for retry_budget in context.budgets:
         for _ in range(20):
-            one.count_first("s", 5.0)
+            retry_budget.count_first("s", 5.0)
         for _ in range(20):
             entries = len(context.budgets)
-            context.taken += one.take("s", entries, 5.5)
+            context.taken += retry_budget.take("s", entries, 5.5)
 
 
-@then("the second sends of all stay within the budget")
-def step_within(context):
+@then("the retries of all entries stay within the budget")
+def step_within_budget(context):
     assert 0 < context.taken <= context.most, context.taken
 
 
-PLACES = ("north", "south", "east")
+DATA_CENTRES = ("north", "south", "east")
 
 
-@given("{count:d} entries in 3 places")
+@given("{count:d} entries in 3 data centres")
 def step_entries(context, count):
-    place_entries(context, [PLACES[n % 3] for n in range(count)])
+    create_cells(context, [DATA_CENTRES[n % 3] for n in range(count)])
 
 
 @given(
-    "{first:d} entries in the first place and {other:d} in each of two others"
+    "{first:d} entries in the first data centre "
+    "and {other:d} in each of two others"
 )
 def step_uneven_entries(context, first, other):
-    north, south, east = PLACES
-    place_entries(context, [north] * first + [south] * other + [east] * other)
+    north, south, east = DATA_CENTRES
+    create_cells(context, [north] * first + [south] * other + [east] * other)
 
 
-def place_entries(context, places):
+def create_cells(context, places):
+    """Create the neighbour lists of entries in these data centres."""
     nodes = tuple(
         records.Node(
             name=f"10.0.0.{n}:7601",
@@ -191,35 +193,35 @@
         context.cells[node] = cell
 
 
-@then("each entry tells {peers} others, all in its own place: {near}")
-def step_tells(context, peers, near):
+@then("each entry reports to {peers} others, all in its data centre: {local}")
+def step_reports_to(context, peers, local):
     least, _, most = peers.partition(" to ")
     for node, cell in context.cells.items():
         count = len(cell.peers)
         assert int(least) <= count <= int(most or least), count
         same = all(peer.place == node.place for peer in cell.peers)
-        assert same == (near == "yes")
+        assert same == (local == "yes")
         assert node not in cell.peers
 
 
-@then("whoever is told by an entry tells it as well")
+@then("two entries report to each other or not at all")
 def step_mutual(context):
     for node, cell in context.cells.items():
         assert all(node in context.cells[peer].peers for peer in cell.peers)
 
 
-@given("{count:d} targets in 3 places")
-def step_placed_targets(context, count):
+@given("{count:d} targets in 3 data centres")
+def step_located_targets(context, count):
     context.targets = [
         site.target(target_id=f"t{n}", address=f"10.1.0.{n}:80")._replace(
-            place=PLACES[n % 3]
+            place=DATA_CENTRES[n % 3]
         )
         for n in range(count)
     ]
 
 
-@then("each entry sends first to {count:d} targets")
-def step_first_targets(context, count):
+@then("each entry prefers {count:d} targets")
+def step_preferred_targets(context, count):
     for node, cell in context.cells.items():
         found = cell.home(context.targets, 0.0)
         assert len(found) == count, len(found)
@@ -241,25 +243,25 @@
     assert min(load.values()) > 0.9 * mean, load.most_common()[-3:]
 
 
-@given('targets "{names}" with {places:d} places each')
-def step_targets(context, names, places):
+@given('targets "{names}" with {slots:d} slots each')
+def step_targets(context, names, slots):
     context.now = 10.0
     context.balancer = balancer.Balancer(rng=random.Random(1))
     context.targets = [
-        site.target(target_id=n, address=f"{n}:80")._replace(slots=places)
+        site.target(target_id=n, address=f"{n}:80")._replace(slots=slots)
         for n in names.split(",")
     ]
 
 
 @when('another entry has {one:d} requests at "{a}" and {two:d} at "{b}"')
-def step_other(context, one, a, two, b):
+def step_other_entry(context, one, a, two, b):
     loads = (messages.OpenLoad(a, one), messages.OpenLoad(b, two))
     share = messages.Share(sequence=1, loads=loads)
     context.balancer.on_share("e2", share, context.now)
 
 
 @then('every request goes to "{name}" until it has as many as "b"')
-def step_goes(context, name):
+def step_least_loaded(context, name):
     chosen = context.balancer.choose(context.targets, set(), context.now)
     assert chosen.target_id == name
     context.balancer.begin(name)
@@ -275,13 +277,13 @@
     context.now += seconds
 
 
-@when('"{name}" states {running:d} running and {waiting:d} waiting requests')
-def step_states(context, name, running, waiting):
+@when('"{name}" reports {running:d} running and {waiting:d} waiting requests')
+def step_load_report(context, name, running, waiting):
     report = balancer.Report(running, waiting, 2)
     context.balancer.on_report(name, report, context.now)
 
 
-@then("{count:d} places are free")
+@then("{count:d} slots are free")
 def step_free(context, count):
     free = context.balancer.loads(context.targets, context.now).free
     assert free == count, free
@@ -293,12 +295,12 @@
         context.balancer.failed(target.target_id, context.now, hard=True)
 
 
-@then("some target is still chosen")
+@then("a target is still chosen")
 def step_chosen(context):
     assert context.balancer.choose(context.targets, set(), context.now)
 
 
-@when("requests of priority 2, 1 and 2 wait and one place is free")
+@when("requests of priority 2, 1 and 2 wait and one slot is free")
 def step_wait(context):
     waiting = gate.Gate()
     for number, priority in enumerate((2, 1, 2)):
@@ -308,25 +310,27 @@
     context.admitted = waiting.admit(1, 6.0)
 
 
-@then("the request of priority 1 gets it")
-def step_gets(context):
+@then("the request of priority 1 gets the slot")
+def step_gets_slot(context):
     assert context.admitted == [1]
 
 
-@when("20 requests are refused within a second")
-def step_refused(context):
-    spread = advice.ReturnAdvice(rng=random.Random(2))
-    context.waits = [spread.after_refusal(5.0 + i / 20) for i in range(20)]
+@when("20 requests are rejected within a second")
+def step_rejected(context):
+    return_advice = advice.ReturnAdvice(rng=random.Random(2))
+    context.delays = [
+        return_advice.after_refusal(5.0 + i / 20) for i in range(20)
+    ]
 
 
-@then("the last is asked back later than the first")
+@then("the last has a longer retry delay than the first")
 def step_last(context):
-    assert context.waits[-1] > 3 * context.waits[0]
+    assert context.delays[-1] > 3 * context.delays[0]
 
 
-@then("none is asked back after more than {seconds:g} s")
-def step_none_later(context, seconds):
-    assert max(context.waits) <= seconds
+@then("no retry delay is above {seconds:g} s")
+def step_max_delay(context, seconds):
+    assert max(context.delays) <= seconds
 
 
 @given("callers of a route of {timeout_s:g} s that stated {stated:g} s before")
@@ -336,30 +340,30 @@
     context.patience.used(route_of("safe", timeout_s), stated)
 
 
-@when("its time-out is changed to {timeout_s:g} s")
+@when("the timeout is changed to {timeout_s:g} s")
 def step_timeout(context, timeout_s):
     context.timeout_s = timeout_s
 
 
-@when("20 requests are refused since there is no target")
+@when("20 requests are rejected because there is no target")
 def step_no_target(context):
-    made = refusals.Refusals(dialect=PlainDialect(), rng=random.Random(2))
-    context.waits = []
+    responder = refusals.Refusals(dialect=PlainDialect(), rng=random.Random(2))
+    context.delays = []
     for _ in range(20):
-        answering = KeptAnswer()
-        made.refuse(answering, None, result_codes.Code.NO_TARGET, 5.0)
-        context.waits.append(float(dict(answering.headers)[b"retry-after"]))
+        answering = RecordingAnswering()
+        responder.refuse(answering, None, result_codes.Code.NO_TARGET, 5.0)
+        context.delays.append(float(dict(answering.headers)[b"retry-after"]))
 
 
 class PlainDialect:
-    """A protocol whose own answers need no header."""
+    """A protocol without headers in the entry's own responses."""
 
     def own_headers(self, ask):
         return []
 
 
-class KeptAnswer:
-    """Keep the headers of the answer that a caller would get."""
+class RecordingAnswering:
+    """Records the headers of the response to a caller."""
 
     def reply(self, status, headers, body):
         self.headers = headers
@@ -372,17 +376,17 @@
 
 
 @given("a request of a caller that has used {used:g} s and has {left:g} s left")
-def step_returned(context, used, left):
+def step_retried_request(context, used, left):
     context.life = life_of("resumable", used_s=used, patience_s=left)
 
 
-@then("it waits {seconds:g} s for a place")
+@then("it waits {seconds:g} s for a slot")
 def step_waits_for(context, seconds):
     got = context.life.waits_until - context.life.arrived
     assert round(got, 3) == seconds, got
 
 
-@when("a request waits whose caller has used 2 s, and an older first try")
+@when("a retry waits whose caller has used 2 s, and an older first attempt")
 def step_two_wait(context):
     waiting = gate.Gate()
     for number, used_s in enumerate((0.0, 2.0)):
@@ -391,8 +395,8 @@
     context.admitted = waiting.admit(1, 101.0)
 
 
-@then("the request of the caller that came back gets the free place")
-def step_returned_gets(context):
+@then("the retry gets the free slot")
+def step_retry_gets_slot(context):
     assert context.admitted == [1]
 
 
@@ -410,13 +414,13 @@
     assert context.outage.on_refusal(context.now)
 
 
-@when("a target takes a request")
-def step_takes(context):
+@when("a target accepts a request")
+def step_accepts(context):
     assert context.outage.on_answer(context.now)
 
 
 @when("a service refuses a request every {pause:g} s, {count:d} times")
-def step_single(context, pause, count):
+def step_isolated_refusals(context, pause, count):
     context.outage = outage.Outage()
     for n in range(count):
         context.now = 50.0 + n * pause
@@ -428,7 +432,7 @@
     assert not context.outage.lasts(context.now)
 
 
-@then("it has an outage, in which waiting requests try it once in {pause:g} s")
+@then("it has an outage, with one probe by a waiting request every {pause:g} s")
 def step_outage(context, pause):
     taken = 0
     for n in range(100):
@@ -438,16 +442,16 @@
     assert taken == round(1.0 / pause), taken
 
 
-@when("{count:d} requests are refused in an outage")
-def step_refused_in_outage(context, count):
-    spread = advice.ReturnAdvice(rng=random.Random(2))
-    context.waits = [spread.during_outage() for _ in range(count)]
+@when("{count:d} requests are rejected during an outage")
+def step_rejected_in_outage(context, count):
+    return_advice = advice.ReturnAdvice(rng=random.Random(2))
+    context.delays = [return_advice.during_outage() for _ in range(count)]
 
 
-@then("each is asked back after {least:g} to {most:g} s")
-def step_asked_back(context, least, most):
-    assert least <= min(context.waits) < max(context.waits) <= most
-    assert max(context.waits) - min(context.waits) > (most - least) / 2
+@then("each retry delay is {least:g} to {most:g} s")
+def step_delays(context, least, most):
+    assert least <= min(context.delays) < max(context.delays) <= most
+    assert max(context.delays) - min(context.delays) > (most - least) / 2
 
 
 @given("{entries:d} entries where {waiting:d} requests wait each")
@@ -456,41 +460,46 @@
     context.own = messages.Queue("s", timely=waiting, late=0)
 
 
-@when("all of them see {places:d} free places")
-def step_same_places(context, places):
+@when("all of them see {slots:d} free slots")
+def step_same_slots(context, slots):
     rng = random.Random(5)
     others = messages.Queue("s", context.own.timely * (context.entries - 1), 0)
-    context.given = [
+    context.admitted = [
         sum(
-            forecast.part(places, context.own, others, rng).total
+            forecast.part(slots, context.own, others, rng).total
             for _ in range(context.entries)
         )
         for _ in range(400)
     ]
 
 
-@then("they give away {least:d} to {most:d} in all, and {mean:d} on average")
-def step_give_away(context, least, most, mean):
-    given = context.given
-    assert least <= min(given) <= max(given) <= most, (min(given), max(given))
-    assert abs(sum(given) / len(given) - mean) < 0.2, sum(given) / len(given)
+@then("they fill {least:d} to {most:d} in total, and {mean:d} on average")
+def step_fill(context, least, most, mean):
+    counts = context.admitted
+    assert least <= min(counts) <= max(counts) <= most, (
+        min(counts),
+        max(counts),
+    )
+    assert abs(sum(counts) / len(counts) - mean) < 0.2, sum(counts) / len(
+        counts
+    )
 
 
-@given("an entry where 3 requests wait that are late, and one with 3 in time")
+@given("an entry with 3 late waiting requests, and one with 3 timely ones")
 def step_late_and_timely(context):
     context.late = messages.Queue("s", timely=0, late=3)
     context.timely = messages.Queue("s", timely=3, late=0)
 
 
-@when("both see 3 free places")
+@when("both see 3 free slots")
 def step_both_see(context):
     rng = random.Random(5)
-    context.given = (
+    context.admitted = (
         forecast.part(3, context.late, context.timely, rng).total,
         forecast.part(3, context.timely, context.late, rng).total,
     )
 
 
-@then("the first gives away none and the second 3")
+@then("the first fills none and the second 3")
 def step_first_none(context):
-    assert context.given == (0, 3), context.given
+    assert context.admitted == (0, 3), context.admitted
