--- a/features/harness/asking.py
+++ b/features/harness/asking.py
@@ -101,7 +101,7 @@
 class Dialect(hop.Dialect):
     """Read the headers by which these targets ask."""
 
-    def target_head(self, head):
+    def parse_response_head(self, head):
         find_all = http_message.find_all
         refuses = head.status == 503
         told = signals.read(
@@ -109,7 +109,7 @@
             limit=find_all(head.headers, b"server-limit"),
             leaving=find_all(head.headers, b"server-leaving"),
         )
-        found = super().target_head(head)
+        found = super().parse_response_head(head)
         return found._replace(
             not_run=refuses, other_target=head.status == 421, signals=told
         )
--- a/features/harness/hop.py
+++ b/features/harness/hop.py
@@ -85,17 +85,17 @@
 class Dialect:
     """A protocol with one header: the event after which to go on."""
 
-    def dispatch(self, req, sent):
-        return [(b"after", (sent.resume_after or "0").encode())]
+    def build_target_headers(self, req, target_request):
+        return [(b"after", (target_request.resume_after or "0").encode())]
 
-    def target_head(self, head):
-        return dialect.TargetHead("", True, False, False, False, None)
+    def parse_response_head(self, head):
+        return dialect.ResponseHead("", True, False, False, False, None)
 
-    def own_headers(self, ask):
+    def build_own_headers(self, caller_headers):
         return []
 
-    def ask(self, req):
-        return dialect.Ask("id", 5.0, "", 10, 10, "")
+    def parse_caller_headers(self, req):
+        return dialect.CallerHeaders("id", 5.0, "", 10, 10, "")
 
 
 class Answering:
@@ -204,7 +204,7 @@
 
     async def turn_slow(self, pace):
         now = self.forwarder.now()
-        self.forwarder.on_paces({self.slow.address: pace}, now)
+        self.forwarder.update_slowdowns({self.slow.address: pace}, now)
         await asyncio.sleep(SETTLE_SECONDS)
 
     def fill(self, name):
--- a/features/steps/backpressure_steps.py
+++ b/features/steps/backpressure_steps.py
@@ -290,7 +290,7 @@
         other = one.directory.get("other")
         now = one.forwarder.now()
         asked = signals.Signals(rest_s=REST)
-        one.forwarder.targets.asked.on_answer(other, asked, now, now)
+        one.forwarder.targets.backpressure.on_answer(other, asked, now, now)
         await one.turn_slow(5.0)
         one.close()
         return one
@@ -320,7 +320,7 @@
     entry = context.entry
     assert entry.targets[0].arrivals
     target = entry.one.directory.get("t0")
-    asked = entry.one.forwarder.targets.asked
+    asked = entry.one.forwarder.targets.backpressure
     assert asked.open_to([target], entry.clock.now) == [target]
 
 
--- a/features/steps/crowd_steps.py
+++ b/features/steps/crowd_steps.py
@@ -121,10 +121,14 @@
     def __init__(self):
         self.asked = 0
 
-    def ask(self, req):
+    def parse_caller_headers(self, req):
         self.asked += 1
         resume_after = "" if self.asked % 2 else "3"
-        return super().ask(req)._replace(resume_after=resume_after)
+        return (
+            super()
+            .parse_caller_headers(req)
+            ._replace(resume_after=resume_after)
+        )
 
 
 async def both_wait():
@@ -174,10 +178,10 @@
     def __init__(self):
         self.asked = 0
 
-    def ask(self, req):
+    def parse_caller_headers(self, req):
         self.asked += 1
         patience_s = 5.0 if self.asked == 1 else 3.0
-        return super().ask(req)._replace(patience_s=patience_s)
+        return super().parse_caller_headers(req)._replace(patience_s=patience_s)
 
 
 async def comes_late(age_s):
--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -24,8 +24,8 @@
 from jasperweir.components.directory import records
 from jasperweir.components.forward import dialect
 from jasperweir.components.forward import events
-from jasperweir.components.forward import life as life_lib
-from jasperweir.components.forward import refusals
+from jasperweir.components.forward import rejections
+from jasperweir.components.forward import request_state
 
 KINDS = {
     "safe": (model.Kind.SAFE, 2, False),
@@ -35,47 +35,51 @@
 }
 
 
-def route_of(kind, timeout_s=8.0):
+def make_route(kind, timeout_s=8.0):
     what, attempts, resumable = KINDS[kind]
     return hop.route(
         kind=what, timeout_s=timeout_s, resumable=resumable, attempts=attempts
     )
 
 
-def life_of(kind, resume_after="", used_s=0.0, patience_s=8.0):
-    route = route_of(kind)
-    ask = dialect.Ask("id", patience_s, "", 10, 10, resume_after)
+def make_request_state(kind, resume_after="", used_s=0.0, patience_s=8.0):
+    route = make_route(kind)
+    caller_headers = dialect.CallerHeaders(
+        "id", patience_s, "", 10, 10, resume_after
+    )
     match = index.Match(route=route, customer=None)
-    return life_lib.Life(match=match, ask=ask, now=100.0, used_s=used_s)
+    return request_state.RequestState(
+        match=match, caller_headers=caller_headers, now=100.0, used_s=used_s
+    )
 
 
 @given("a {kind} request that one target has received")
 def step_request(context, kind):
-    context.life = life_of(kind)
-    context.life.on_sent("t1")
+    context.state = make_request_state(kind)
+    context.state.on_sent("t1")
 
 
 @when('the attempt fails with "{fault}"')
 def step_fault(context, fault):
-    what = life_lib.Fault(fault)
-    if what is life_lib.Fault.UNSENT:
-        context.life.attempts = context.life.deliveries = 0
-    context.decision = context.life.on_fault("t1", what, 100.1)
+    what = request_state.Fault(fault)
+    if what is request_state.Fault.UNSENT:
+        context.state.attempts = context.state.deliveries = 0
+    context.decision = context.state.on_fault("t1", what, 100.1)
 
 
 @when('a second attempt fails with "{fault}"')
 def step_second(context, fault):
-    context.life.on_sent("t2")
-    what = life_lib.Fault(fault)
-    context.decision = context.life.on_fault("t2", what, 100.2)
+    context.state.on_sent("t2")
+    what = request_state.Fault(fault)
+    context.decision = context.state.on_fault("t2", what, 100.2)
 
 
 @then('the decision is "{name}"')
 def step_decision(context, name):
     match context.decision:
-        case life_lib.Retry():
+        case request_state.Retry():
             assert name == "retry", "retry"
-        case life_lib.Fail(code):
+        case request_state.Fail(code):
             assert code.name.lower() == name, code
         case other:
             raise AssertionError(other)
@@ -83,7 +87,7 @@
 
 @when("a target responds with {status:d} that is {marks}")
 def step_responds(context, status, marks):
-    head = dialect.TargetHead(
+    head = dialect.ResponseHead(
         request_id="id",
         signed="unsigned" not in marks and "signed" in marks,
         not_run="not run" in marks,
@@ -91,7 +95,7 @@
         encoded="encoded" in marks,
         load=None,
     )
-    context.response_class = context.life.classify_response(status, head)
+    context.response_class = context.state.classify_response(status, head)
 
 
 @then('the response is classified as "{name}"')
@@ -102,8 +106,8 @@
 
 @then("a resumed request waits 1.8 s for a slot and a first attempt 0.6 s")
 def step_waits(context):
-    resumed = life_of("resumable", "5")
-    first = life_of("resumable")
+    resumed = make_request_state("resumable", "5")
+    first = make_request_state("resumable")
     assert round(resumed.waits_until - 100.0, 3) == 1.8
     assert round(first.waits_until - 100.0, 3) == 0.6
 
@@ -337,7 +341,7 @@
 def step_patience(context, timeout_s, stated):
     context.patience = patience.UsualPatience()
     context.timeout_s = timeout_s
-    context.patience.used(route_of("safe", timeout_s), stated)
+    context.patience.used(make_route("safe", timeout_s), stated)
 
 
 @when("the timeout is changed to {timeout_s:g} s")
@@ -347,18 +351,20 @@
 
 @when("20 requests are rejected because there is no target")
 def step_no_target(context):
-    responder = refusals.Refusals(dialect=PlainDialect(), rng=random.Random(2))
+    responder = rejections.RejectionResponder(
+        dialect=PlainDialect(), rng=random.Random(2)
+    )
     context.delays = []
     for _ in range(20):
         answering = RecordingAnswering()
-        responder.refuse(answering, None, result_codes.Code.NO_TARGET, 5.0)
+        responder.reject(answering, None, result_codes.Code.NO_TARGET, 5.0)
         context.delays.append(float(dict(answering.headers)[b"retry-after"]))
 
 
 class PlainDialect:
     """A protocol without headers in the entry's own responses."""
 
-    def own_headers(self, ask):
+    def build_own_headers(self, caller_headers):
         return []
 
 
@@ -371,18 +377,20 @@
 
 @then("a caller that states {stated:g} s has used {used:g} s")
 def step_used(context, stated, used):
-    got = context.patience.used(route_of("safe", context.timeout_s), stated)
+    got = context.patience.used(make_route("safe", context.timeout_s), stated)
     assert round(got, 3) == used, got
 
 
 @given("a request of a caller that has used {used:g} s and has {left:g} s left")
 def step_retried_request(context, used, left):
-    context.life = life_of("resumable", used_s=used, patience_s=left)
+    context.state = make_request_state(
+        "resumable", used_s=used, patience_s=left
+    )
 
 
 @then("it waits {seconds:g} s for a slot")
 def step_waits_for(context, seconds):
-    got = context.life.waits_until - context.life.arrived
+    got = context.state.waits_until - context.state.arrived
     assert round(got, 3) == seconds, got
 
 
@@ -390,7 +398,9 @@
 def step_two_wait(context):
     waiting = gate.Gate()
     for number, used_s in enumerate((0.0, 2.0)):
-        asked_at = life_of("safe", used_s=used_s).asked_at + 0.05 * number
+        asked_at = (
+            make_request_state("safe", used_s=used_s).asked_at + 0.05 * number
+        )
         waiting.wait(gate.Waiting(1, asked_at, number, 109.0, 100.0))
     context.admitted = waiting.admit(1, 101.0)
 
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -76,7 +76,7 @@
 
 @given("routes to a group that allow pauses of {one:g} s and of {two:g} s")
 def step_routes(context, one, two):
-    route = forward_steps.route_of("stream")
+    route = forward_steps.make_route("stream")
     backends = (model.Backend("s", 1.0),)
     engine = model.Engine(
         slots=SLOTS,
@@ -183,7 +183,7 @@
 
 @given("a first try of a route that is to answer in {target:g} s and has 8 s")
 def step_first_try(context, target):
-    context.life = forward_steps.life_of("resumable", patience_s=8.0)
+    context.life = forward_steps.make_request_state("resumable", patience_s=8.0)
     route = context.life.match.route._replace(target_s=target)
     context.life.match = context.life.match._replace(route=route)
 
--- a/features/steps/quarantine_forward_steps.py
+++ b/features/steps/quarantine_forward_steps.py
@@ -20,7 +20,7 @@
 def remember(forwarder, req, count=const.ENDS_MAX):
     what = quarantine.of(req, "")
     for number in range(count):
-        forwarder.ends.ledger.add(
+        forwarder.crash_detector.ledger.add(
             what, quarantine.target(number), forwarder.now()
         )
 
@@ -124,7 +124,7 @@
             hop_.forwarder.handle(hop_.answering)
         assert not hop_.answering.done
         remember(hop_.forwarder, hop_.answering.request)
-        hop_.forwarder.on_marks(hop_.forwarder.now())
+        hop_.forwarder.reject_quarantined(hop_.forwarder.now())
         context.hop = hop_
         hop_.close()
 
@@ -159,7 +159,9 @@
             )
         await answer(hop_, hop_.answering)
         await asyncio.sleep(const.CHECK_SECONDS + hop.SETTLE_SECONDS)
-        context.marks = hop_.forwarder.ends.ledger.marks(hop_.forwarder.now())
+        context.marks = hop_.forwarder.crash_detector.ledger.marks(
+            hop_.forwarder.now()
+        )
         target_.close()
         hop_.close()
 
@@ -201,8 +203,8 @@
         service = "other" if "service" in what else "s"
         new = site_lib.target(target_id="new", address=context.address)
         context.hop.directory.merge(new._replace(service=service), now)
-    forwarder.ends.tick(now)
-    context.marks = forwarder.ends.ledger.marks(now)
+    forwarder.crash_detector.tick(now)
+    context.marks = forwarder.crash_detector.ledger.marks(now)
 
 
 @then("{count:d} ends are remembered after the check")
--- a/features/steps/starting_steps.py
+++ b/features/steps/starting_steps.py
@@ -22,9 +22,9 @@
     def __init__(self):
         self.told_s = None
 
-    def dispatch(self, req, sent):
+    def build_target_headers(self, req, sent):
         self.told_s = sent.patience_s
-        return super().dispatch(req, sent)
+        return super().build_target_headers(req, sent)
 
 
 class Start:
@@ -152,9 +152,9 @@
 class Refusing(hop.Dialect):
     """Read a 503 of a target as its word that it did not run the request."""
 
-    def target_head(self, head):
+    def parse_response_head(self, head):
         not_run = head.status == 503
-        return super().target_head(head)._replace(not_run=not_run)
+        return super().parse_response_head(head)._replace(not_run=not_run)
 
 
 async def form(age_s, count, seconds):
--- a/jasperweir/components/forward/admission.py
+++ b/jasperweir/components/forward/admission.py
@@ -84,7 +84,7 @@
         wait_s = self._queues.estimate_wait_s(
             exchange.service, candidates, running, now
         )
-        if not exchange.life.expect_wait(wait_s):
+        if not exchange.state.expect_wait(wait_s):
             exchange.fail(Code.OVERLOADED)
             return
         self._enqueue(exchange, now, now)
@@ -99,12 +99,12 @@
             return True
         now = self._clock.monotonic()
         not_before = now + const.PAUSE_SECONDS
-        life = exchange.life
-        if not life.is_last_try or life.waits_until <= not_before:
+        state = exchange.state
+        if not state.is_last_try or state.waits_until <= not_before:
             return False
         if self.stopping:
             return False
-        life.tried_target_ids.clear()
+        state.tried_target_ids.clear()
         self._enqueue(exchange, now, not_before)
         return True
 
@@ -112,23 +112,23 @@
         self, exchange: exchange_lib.Exchange, now: float
     ) -> None:
         """Queue a request until a target is available, or reject it."""
-        life = exchange.life
+        state = exchange.state
         ahead = len(self._queues.get(exchange.service).gate)
         available_in_s = self._targets.seconds_until_available(
-            exchange.service, life.tried_target_ids, ahead, now
+            exchange.service, state.tried_target_ids, ahead, now
         )
-        if life.tried_target_ids and math.isinf(available_in_s):
+        if state.tried_target_ids and math.isinf(available_in_s):
             exchange.fail(Code.TARGETS_REFUSED)
             return
         if math.isinf(available_in_s):
             if not self.wait_for_targets(exchange):
                 exchange.fail(Code.NO_TARGET)
             return
-        in_time = life.expect_wait(available_in_s)
+        in_time = state.expect_wait(available_in_s)
         if (
             self.stopping
             or not in_time
-            or now + available_in_s >= life.waits_until
+            or now + available_in_s >= state.waits_until
         ):
             exchange.fail(Code.BACKPRESSURE)
             return
@@ -144,13 +144,13 @@
             Whether the request was queued.
         """
         now = self._clock.monotonic()
-        life = exchange.life
-        patience_s = life.remaining_s(life.arrived)
-        until = self._startup_grace.compute_deadline(life.arrived, patience_s)
+        state = exchange.state
+        patience_s = state.remaining_s(state.arrived)
+        until = self._startup_grace.compute_deadline(state.arrived, patience_s)
         if self.stopping or until <= now:
             return False
-        life.startup_deadline = until
-        life.tried_target_ids.clear()
+        state.startup_deadline = until
+        state.tried_target_ids.clear()
         self._enqueue(exchange, now, now)
         return True
 
--- a/jasperweir/components/forward/available_targets.py
+++ b/jasperweir/components/forward/available_targets.py
@@ -13,7 +13,7 @@
     and streams that move.
 
     Attributes:
-        asked: Backpressure state of all targets.
+        backpressure: Backpressure state of all targets.
     """
 
     def __init__(
@@ -30,7 +30,7 @@
             outages: Services whose targets all refuse requests.
             name: Name of this entry.
         """
-        self.asked = asked_lib.Backpressure(name=name)
+        self.backpressure = asked_lib.Backpressure(name=name)
         self._directory = directory
         self._outages = outages
 
@@ -49,8 +49,8 @@
         them in vain.
         """
         if self._outages.of(service).lasts(now):
-            return self.asked.unbarred(targets, now)
-        return self.asked.open_to(targets, now)
+            return self.backpressure.unbarred(targets, now)
+        return self.backpressure.open_to(targets, now)
 
     def seconds_until_available(
         self, service: str, tried: set[str], ahead: int, now: float
@@ -68,12 +68,12 @@
         """
         announced = self._directory.serving(service, now)
         untried = [t for t in announced if t.target_id not in tried]
-        return self.asked.opens_in_s(untried, now, ahead)
+        return self.backpressure.opens_in_s(untried, now, ahead)
 
     def on_service_recovered(self, service: str, now: float) -> None:
         """Clear the refusals of a service's targets after an outage."""
-        self.asked.forgive(self._directory.serving(service, now))
+        self.backpressure.forgive(self._directory.serving(service, now))
 
     def tidy(self, now: float) -> None:
         """Drop expired state and state of targets that are gone."""
-        self.asked.tidy(self._directory.get, now)
+        self.backpressure.tidy(self._directory.get, now)
--- a/jasperweir/components/forward/end_watch.py
+++ b/jasperweir/components/forward/crash_detector.py
@@ -32,16 +32,16 @@
     """Result of a new connection to a target whose connections broke."""
 
     # The connection was refused: the process has ended.
-    ENDED = "ended"
+    REFUSED = "ended"
     # The connection was accepted.
-    LISTENS = "listens"
+    ACCEPTED = "listens"
     # No reply in time: a network partition or a lost VM.
-    NONE = "none"
+    NO_REPLY = "none"
     # No reply, and another target has since taken over the address.
     REPLACED = "replaced"
 
 
-class EndWatch:
+class CrashDetector:
     """Probes targets whose connections break and records the affected requests.
 
     Attributes:
@@ -69,7 +69,7 @@
     def find_verdict(
         self, exchange: "exchange_lib.Exchange", now: float
     ) -> ledger_lib.Verdict:
-        """Return whether and for how long a request is quarantined."""
+        """Return the crashes under a request and its quarantine time."""
         found = self._find_fingerprint(exchange)
         if found is None:
             return ledger_lib.Verdict(0, 0.0)
@@ -106,7 +106,9 @@
             return
         found = fingerprint.of(_subject(exchange))
         now = self._clock.monotonic()
-        attempt = suspects_lib.Try(exchange.life.ask.request_id, sent_at, now)
+        attempt = suspects_lib.Try(
+            exchange.state.caller_headers.request_id, sent_at, now
+        )
         if not self._suspects.on_broken(target, found, attempt):
             return
         task = asyncio.get_running_loop().create_task(
@@ -141,9 +143,9 @@
         if case is None:
             return
         self._recorder.record_probe(case, result.value)
-        if result is ProbeResult.ENDED:
+        if result is ProbeResult.REFUSED:
             self._add_marks(case)
-        elif result is ProbeResult.NONE:
+        elif result is ProbeResult.NO_REPLY:
             self._suspects.keep(case, self._clock.monotonic())
 
     def tick(self, now: float) -> None:
@@ -174,15 +176,15 @@
         try:
             conn = await self._pool.open(target.address)
         except ConnectionRefusedError:
-            return ProbeResult.ENDED
+            return ProbeResult.REFUSED
         except OSError:
-            return ProbeResult.NONE
+            return ProbeResult.NO_REPLY
         conn.close()
-        return ProbeResult.LISTENS
+        return ProbeResult.ACCEPTED
 
 
 def _subject(exchange: "exchange_lib.Exchange") -> fingerprint.Subject:
-    return fingerprint.subject(exchange.request, exchange.life.customer_name)
+    return fingerprint.subject(exchange.request, exchange.state.customer_name)
 
 
 def _incarnation(target: records.Target) -> ledger_lib.Incarnation:
--- a/jasperweir/components/forward/dialect.py
+++ b/jasperweir/components/forward/dialect.py
@@ -8,7 +8,7 @@
 from jasperweir.helpers import http_message
 
 
-class Ask(NamedTuple):
+class CallerHeaders(NamedTuple):
     """Metadata that a caller states in its request's headers.
 
     Attributes:
@@ -30,7 +30,7 @@
     resume_after: str
 
 
-class Dispatch(NamedTuple):
+class TargetRequest(NamedTuple):
     """Metadata that is sent to a target with a request.
 
     Attributes:
@@ -49,7 +49,7 @@
     resume_after: str
 
 
-class TargetHead(NamedTuple):
+class ResponseHead(NamedTuple):
     """Metadata from the status line and headers of a target's response.
 
     Attributes:
@@ -78,20 +78,22 @@
     An implementation makes no forwarding decisions.
     """
 
-    def ask(self, req: http_message.Request) -> Ask:
+    def parse_caller_headers(self, req: http_message.Request) -> CallerHeaders:
         """Parse the headers of a caller's request.
 
         Raises:
             ValueError: A header value is malformed.
         """
 
-    def dispatch(
-        self, req: http_message.Request, sent: Dispatch
+    def build_target_headers(
+        self, req: http_message.Request, target_request: TargetRequest
     ) -> http_message.Headers:
         """Build the headers of the request to a target."""
 
-    def target_head(self, head: http_message.Head) -> TargetHead:
+    def parse_response_head(self, head: http_message.Head) -> ResponseHead:
         """Parse the head of a target's response."""
 
-    def own_headers(self, ask: Ask | None) -> http_message.Headers:
+    def build_own_headers(
+        self, caller_headers: CallerHeaders | None
+    ) -> http_message.Headers:
         """Build the headers of a response that the entry generates."""
--- a/jasperweir/components/forward/early_requests.py
+++ b/jasperweir/components/forward/early_requests.py
@@ -12,13 +12,13 @@
 
     Attributes:
         answering: Response channel to the caller.
-        ask: Metadata from the request's headers.
+        caller_headers: Metadata from the request's headers.
         arrived_at: When it arrived, monotonic seconds.
         deadline: When it is rejected, monotonic seconds.
     """
 
     answering: http_server.Answering
-    ask: dialect_lib.Ask
+    caller_headers: dialect_lib.CallerHeaders
     arrived_at: float
     deadline: float
 
--- a/jasperweir/components/forward/exchange.py
+++ b/jasperweir/components/forward/exchange.py
@@ -9,7 +9,7 @@
 from jasperweir.components.forward import const
 from jasperweir.components.forward import dialect as dialect_lib
 from jasperweir.components.forward import events as events_lib
-from jasperweir.components.forward import life as life_lib
+from jasperweir.components.forward import request_state
 from jasperweir.helpers import http_client
 from jasperweir.helpers import http_message
 from jasperweir.helpers import http_server
@@ -18,7 +18,7 @@
     from jasperweir.components.forward import forwarder as forwarder_lib
 
 Code = result_codes.Code
-Fault = life_lib.Fault
+Fault = request_state.Fault
 
 
 # Results that may change within seconds, so that waiting is worthwhile.
@@ -32,7 +32,7 @@
         number: Number of the request, unique in this process.
         answering: Response channel to the caller.
         service: Service that the request is routed to.
-        life: State of the request and its retry rules.
+        state: State of the request and its retry rules.
         done: Whether the caller has its final response or has disconnected.
         first_byte_at: When the first byte of a response arrived, monotonic
             seconds; 0 before.
@@ -45,12 +45,12 @@
         number: int,
         forwarder: "forwarder_lib.Forwarder",
         answering: http_server.Answering,
-        life: life_lib.Life,
+        state: request_state.RequestState,
         service: str,
     ) -> None:
         self.number = number
         self.service = service
-        self.life = life
+        self.state = state
         self.done = False
         self._forwarder = forwarder
         self.answering = answering
@@ -62,13 +62,13 @@
         self._length: int | None = None
         self._buffered: list[bytes] = []
         self._buffered_bytes = 0
-        self._splitter = events_lib.EventSplitter(last_id=life.last_event_id)
+        self._splitter = events_lib.EventSplitter(last_id=state.last_event_id)
         self._sent_at = 0.0
         self._last_event_at = 0.0
         self.first_byte_at = 0.0
         self.longest_gap_s = 0.0
         loop = asyncio.get_running_loop()
-        left_s = life.remaining_s(forwarder.now())
+        left_s = state.remaining_s(forwarder.now())
         self._timer = loop.call_later(left_s, self._on_timeout)
         answering.on_gone = self._on_caller_disconnected
 
@@ -90,7 +90,7 @@
         self._forwarder.balancer.begin(target.target_id)
         self._holds_slot = True
         max_idle_s = math.inf
-        if not self.life.match.route.idempotent:
+        if not self.state.match.route.idempotent:
             max_idle_s = const.MAX_IDLE_SECONDS
         conn = self._forwarder.pool.take(_pool_key(target), max_idle_s)
         if conn is not None:
@@ -117,32 +117,32 @@
     def _send_request(self, conn: http_client.ClientConnection) -> None:
         assert self._target is not None
         now = self._forwarder.now()
-        life = self.life
-        if self._forwarder.targets.asked.bars(self._target, now):
+        state = self.state
+        if self._forwarder.targets.backpressure.bars(self._target, now):
             # The target sent backpressure while the connection was opened.
             self._forwarder.pool.give(_pool_key(self._target), conn)
             self._release_slot()
-            self._apply(life.on_target_unavailable(self._target.target_id))
+            self._apply(state.on_target_unavailable(self._target.target_id))
             return
-        patience_s = life.remaining_s(now) - const.RESPONSE_MARGIN_SECONDS
+        patience_s = state.remaining_s(now) - const.RESPONSE_MARGIN_SECONDS
         if patience_s < const.MIN_ATTEMPT_SECONDS:
             self._forwarder.pool.give(_pool_key(self._target), conn)
             self._release_slot()
-            self._apply(life.on_timeout(at_target=False))
+            self._apply(state.on_timeout(at_target=False))
             return
-        dispatch = dialect_lib.Dispatch(
+        dispatch = dialect_lib.TargetRequest(
             target_id=self._target.target_id,
             patience_s=patience_s,
-            priority=min(life.match.priority, 9),
-            customer=life.customer_name,
-            resume_after=life.last_event_id,
+            priority=min(state.match.priority, 9),
+            customer=state.customer_name,
+            resume_after=state.last_event_id,
         )
         req = self.request
-        headers = self._forwarder.dialect.dispatch(req, dispatch)
+        headers = self._forwarder.dialect.build_target_headers(req, dispatch)
         if req.body or req.method not in (b"GET", b"HEAD"):
             headers.append((b"content-length", b"%d" % len(req.body)))
         line = req.method + b" " + req.target + b" HTTP/1.1"
-        life.on_sent(self._target.target_id)
+        state.on_sent(self._target.target_id)
         self._conn = conn
         self._sent_at = now
         conn.send(http_message.write_head(line, headers) + req.body, self)
@@ -155,10 +155,10 @@
         Returns:
             False if the response belongs to another request.
         """
-        target_head = self._forwarder.dialect.target_head(head)
+        target_head = self._forwarder.dialect.parse_response_head(head)
         if (
             target_head.request_id
-            and target_head.request_id != self.life.ask.request_id
+            and target_head.request_id != self.state.caller_headers.request_id
         ):
             return False
         now = self._forwarder.now()
@@ -167,24 +167,26 @@
                 self.target_id, target_head.load, now
             )
         if self._target is not None and not target_head.other_target:
-            self._forwarder.notes.on_signals(
+            self._forwarder.outcomes.on_signals(
                 self._target, target_head.signals, self._sent_at
             )
-        fault = self.life.classify_response(head.status, target_head)
+        fault = self.state.classify_response(head.status, target_head)
         if fault is not None:
             hard = fault is Fault.REPLACED
             self._on_fault(fault, f"status {head.status}", hard=hard)
             return True
         if self._target is not None:
-            self._forwarder.notes.on_accepted(self, self._target)
-            self._forwarder.ends.on_response(self._target, self._sent_at)
+            self._forwarder.outcomes.on_accepted(self, self._target)
+            self._forwarder.crash_detector.on_response(
+                self._target, self._sent_at
+            )
         if head.status < 500:
             self._forwarder.balancer.succeeded(
                 self.target_id, now - self._sent_at
             )
         else:
             self._forwarder.balancer.failed(self.target_id, now, hard=False)
-        if self.life.response_started:
+        if self.state.response_started:
             # A resumed stream keeps the first target's response head.
             return True
         self._head = head
@@ -201,11 +203,11 @@
             events = self._splitter.feed(data)
             if events:
                 self._record_gap()
-                self.life.last_event_id = self._splitter.last_id
+                self.state.last_event_id = self._splitter.last_id
                 self._start_response(None)
                 self.answering.send(events)
             return
-        if self.life.response_started:
+        if self.state.response_started:
             self.answering.send(data)
             return
         self._buffered.append(data)
@@ -229,16 +231,16 @@
         if self.done or conn is None or self._target is None:
             return
         self._forwarder.pool.give(_pool_key(self._target), conn)
-        self._forwarder.notes.on_completed(self, self._sent_at)
+        self._forwarder.outcomes.on_completed(self, self._sent_at)
         if self._head is not None and self._head.status < 300:
-            self._forwarder.ends.on_completed(self)
+            self._forwarder.crash_detector.on_completed(self)
         self._conn = None
         self._release_slot()
         if self._is_event_stream:
             self._start_response(None)
             self.answering.send(self._splitter.flush())
             self.answering.end()
-        elif self.life.response_started:
+        elif self.state.response_started:
             self.answering.end()
         else:
             assert self._head is not None
@@ -253,22 +255,24 @@
     def on_broken(self, reason: str) -> None:
         """Handle a connection that closed before the response was complete."""
         if not self.done and self._target is not None:
-            self._forwarder.ends.on_broken(self, self._target, self._sent_at)
+            self._forwarder.crash_detector.on_broken(
+                self, self._target, self._sent_at
+            )
         self._on_fault(Fault.UNKNOWN, reason, hard=False)
 
     @property
     def _is_event_stream(self) -> bool:
-        if not self.life.is_stream:
+        if not self.state.is_stream:
             return False
-        return self.life.response_started or (
+        return self.state.response_started or (
             self._head is not None and 200 <= self._head.status < 300
         )
 
     def _start_response(self, length: int | None) -> None:
-        if self.life.response_started:
+        if self.state.response_started:
             return
         assert self._head is not None
-        self.life.response_started = True
+        self.state.response_started = True
         headers = http_message.end_to_end(self._head.headers)
         self.answering.start(self._head.status, headers, length)
 
@@ -287,46 +291,46 @@
         if fault in (Fault.UNSENT, Fault.UNKNOWN):
             self._forwarder.balancer.failed(target.target_id, now, hard=hard)
         self._release_target()
-        self._forwarder.notes.on_fault(self, target, fault, reason)
-        self._apply(self.life.on_fault(target.target_id, fault, now))
+        self._forwarder.outcomes.on_fault(self, target, fault, reason)
+        self._apply(self.state.on_fault(target.target_id, fault, now))
 
     def _release_target(self) -> None:
         """Disconnect from the target and drop its unfinished data."""
         self._close_connection()
         self._release_slot()
-        self._head = self._head if self.life.response_started else None
+        self._head = self._head if self.state.response_started else None
         self._buffered, self._buffered_bytes = [], 0
         self._splitter = events_lib.EventSplitter(
-            last_id=self.life.last_event_id
+            last_id=self.state.last_event_id
         )
 
     @property
     def can_move(self) -> bool:
         """Whether a target has the request and another one may continue it."""
-        return self._conn is not None and self.life.can_move
+        return self._conn is not None and self.state.can_move
 
     def leave_target(self) -> None:
         """Cancel the request at its target to continue it at another one."""
         self._release_target()
-        self.life.on_moved()
+        self.state.on_moved()
 
-    def _apply(self, decision: life_lib.Decision) -> None:
+    def _apply(self, decision: request_state.Decision) -> None:
         match decision:
-            case life_lib.Retry():
+            case request_state.Retry():
                 self._forwarder.retry(self)
-            case life_lib.Fail():
+            case request_state.Fail():
                 if not self._try_wait(decision.code):
                     self.reject(decision.code)
-            case life_lib.Abort():
+            case request_state.Abort():
                 self.answering.abort()
                 self._finish(f"broken off: {decision.reason}")
 
     def fail(self, code: Code) -> None:
         """End the request without trying another target."""
-        self._apply(self.life.fail(code))
+        self._apply(self.state.fail(code))
 
     def _try_wait(self, code: Code) -> bool:
-        if self.life.response_started or code not in _WAITABLE_CODES:
+        if self.state.response_started or code not in _WAITABLE_CODES:
             return False
         return self._forwarder.admission.wait_for_targets(self)
 
@@ -342,11 +346,11 @@
     def _on_timeout(self) -> None:
         if self.done:
             return
-        self._forwarder.notes.on_timeout(self)
+        self._forwarder.outcomes.on_timeout(self)
         at_target = self._conn is not None
         self._close_connection()
         self._release_slot()
-        self._apply(self.life.on_timeout(at_target=at_target))
+        self._apply(self.state.on_timeout(at_target=at_target))
 
     def _on_caller_disconnected(self) -> None:
         if self.done:
--- a/jasperweir/components/forward/forwarder.py
+++ b/jasperweir/components/forward/forwarder.py
@@ -19,17 +19,17 @@
 from jasperweir.components.forward import admission as admission_lib
 from jasperweir.components.forward import available_targets
 from jasperweir.components.forward import capacity as capacity_lib
+from jasperweir.components.forward import crash_detector
 from jasperweir.components.forward import dialect as dialect_lib
 from jasperweir.components.forward import early_requests
-from jasperweir.components.forward import end_watch
 from jasperweir.components.forward import exchange as exchange_lib
-from jasperweir.components.forward import life as life_lib
 from jasperweir.components.forward import matching
-from jasperweir.components.forward import notes as notes_lib
+from jasperweir.components.forward import outcome_tracker
 from jasperweir.components.forward import pass_monitor
 from jasperweir.components.forward import queues as queues_lib
 from jasperweir.components.forward import recorder as recorder_lib
-from jasperweir.components.forward import refusals as refusals_lib
+from jasperweir.components.forward import rejections
+from jasperweir.components.forward import request_state
 from jasperweir.components.forward import startup_grace as startup_grace_lib
 from jasperweir.components.forward import stragglers
 from jasperweir.helpers import http_client
@@ -47,8 +47,9 @@
         neighbours: Entries and targets in the same cell as this entry.
         capacity: Free slots at targets, nearby ones first.
         pass_monitor: Pass times of engine groups and the resulting limits.
-        notes: Handlers of what targets respond.
-        ends: Detection of crashed targets and of the requests that ran there.
+        outcomes: Updates of shared state after each attempt.
+        crash_detector: Detection of crashed targets and of the requests that
+            ran there.
         targets: Targets that accept requests now.
         admission: Policy on sending, queueing and rejecting requests.
         pool: Connections to targets.
@@ -86,13 +87,15 @@
         self._directory = directory
         self._budget = budget_lib.RetryBudget(bounds=bounds)
         self._recorder = recorder_lib.Recorder(metrics=metrics)
-        self.ends = end_watch.EndWatch(
+        self.crash_detector = crash_detector.CrashDetector(
             clock=clock,
             pool=self.pool,
             directory=directory,
             recorder=self._recorder,
         )
-        self._refusals = refusals_lib.Refusals(dialect=dialect, rng=rng)
+        self._rejections = rejections.RejectionResponder(
+            dialect=dialect, rng=rng
+        )
         self._patience = patience_lib.UsualPatience()
         self._outages = outage_lib.Outages()
         self._early_requests = early_requests.EarlyRequestBuffer()
@@ -112,7 +115,7 @@
             outages=self._outages,
             name=neighbours.name,
         )
-        self.notes = notes_lib.Notes(
+        self.outcomes = outcome_tracker.OutcomeTracker(
             clock=clock,
             targets=self.targets,
             balancer=self.balancer,
@@ -159,33 +162,39 @@
         req = answering.request
         index = self.index
         try:
-            ask = self.dialect.ask(req)
+            caller_headers = self.dialect.parse_caller_headers(req)
         except ValueError as exc:
             self._turn_away_request(answering, None, Code.BAD_HEADER, str(exc))
             return
         if index is None:
-            self._buffer_early(answering, ask)
+            self._buffer_early(answering, caller_headers)
             return
-        self._accept(answering, ask, index, self.now())
+        self._accept(answering, caller_headers, index, self.now())
 
     def _buffer_early(
-        self, answering: http_server.Answering, ask: dialect_lib.Ask
+        self,
+        answering: http_server.Answering,
+        caller_headers: dialect_lib.CallerHeaders,
     ) -> None:
         """Buffer a request until a configuration has arrived."""
         now = self.now()
-        deadline = self._startup_grace.compute_deadline(now, ask.patience_s)
-        if ask.resume_after:
+        deadline = self._startup_grace.compute_deadline(
+            now, caller_headers.patience_s
+        )
+        if caller_headers.resume_after:
             deadline = now + balance_const.RESUMED_WAIT_SECONDS
         is_full = len(self._early_requests) >= balance_const.START_KEPT_MOST
         if self.stopping or is_full or deadline <= now:
             self._turn_away_request(
-                answering, ask, Code.NOT_READY, "no configuration"
+                answering, caller_headers, Code.NOT_READY, "no configuration"
             )
             return
         self._early_requests.add(
-            early_requests.EarlyRequest(answering, ask, now, deadline)
+            early_requests.EarlyRequest(
+                answering, caller_headers, now, deadline
+            )
         )
-        self._recorder.record_buffered(ask, deadline - now)
+        self._recorder.record_buffered(caller_headers, deadline - now)
         self.on_work()
 
     def _accept_early(self, early: early_requests.EarlyRequest) -> bool:
@@ -193,7 +202,7 @@
             return False
         self._accept(
             early.answering,
-            early.ask,
+            early.caller_headers,
             self.index,
             early.arrived_at,
             startup_deadline=early.deadline,
@@ -202,34 +211,44 @@
 
     def _reject_early(self, early: early_requests.EarlyRequest) -> None:
         self._turn_away_request(
-            early.answering, early.ask, Code.NOT_READY, "no configuration"
+            early.answering,
+            early.caller_headers,
+            Code.NOT_READY,
+            "no configuration",
         )
 
     def _accept(
         self,
         answering: http_server.Answering,
-        ask: dialect_lib.Ask,
+        caller_headers: dialect_lib.CallerHeaders,
         index: index_lib.Index,
         arrived: float,
         startup_deadline: float = float("-inf"),
     ) -> None:
-        match = matching.match_request(index, answering.request, ask)
+        match = matching.match_request(index, answering.request, caller_headers)
         if isinstance(match, matching.Denial):
-            self._deny(answering, ask, match)
+            self._deny(answering, caller_headers, match)
             return
         if self.stopping:
-            self._turn_away_request(answering, ask, Code.DRAINING, "stopping")
+            self._turn_away_request(
+                answering, caller_headers, Code.DRAINING, "stopping"
+            )
             return
         now = self.now()
         service = match.route.draw_service(self._rng)
-        used_s = self._patience.used(match.route, ask.patience_s)
-        life = life_lib.Life(match=match, ask=ask, now=arrived, used_s=used_s)
-        life.startup_deadline = startup_deadline
+        used_s = self._patience.used(match.route, caller_headers.patience_s)
+        state = request_state.RequestState(
+            match=match,
+            caller_headers=caller_headers,
+            now=arrived,
+            used_s=used_s,
+        )
+        state.startup_deadline = startup_deadline
         exchange = exchange_lib.Exchange(
             number=next(self._exchange_numbers),
             forwarder=self,
             answering=answering,
-            life=life,
+            state=state,
             service=service,
         )
         self._open_exchanges[exchange.number] = exchange
@@ -239,7 +258,7 @@
     def _deny(
         self,
         answering: http_server.Answering,
-        ask: dialect_lib.Ask,
+        caller_headers: dialect_lib.CallerHeaders,
         denial: matching.Denial,
     ) -> None:
         """Reject a request that the configuration does not allow.
@@ -247,12 +266,12 @@
         The result is NOT_READY if a newer configuration may allow it.
         """
         code = denial.code if self.is_certain() else Code.NOT_READY
-        self._turn_away_request(answering, ask, code, denial.detail)
+        self._turn_away_request(answering, caller_headers, code, denial.detail)
 
     # Target selection.
 
     def _admit(self, exchange: exchange_lib.Exchange, now: float) -> None:
-        if self.ends.reject_if_quarantined(exchange, now):
+        if self.crash_detector.reject_if_quarantined(exchange, now):
             return
         targets = self.targets.list_available(exchange.service, now)
         if not targets:
@@ -278,9 +297,9 @@
         candidates: capacity_lib.Candidates,
         now: float,
     ) -> None:
-        if self.ends.reject_if_quarantined(exchange, now):
+        if self.crash_detector.reject_if_quarantined(exchange, now):
             return
-        tried_target_ids = exchange.life.tried_target_ids
+        tried_target_ids = exchange.state.tried_target_ids
         # Requests sent since the slots were counted may have closed a target.
         available = self.targets.filter_available(
             candidates.targets, exchange.service, now
@@ -302,19 +321,19 @@
             unreported=self.balancer.unknown_at(target_id, now),
             free_slots=candidates.free_slots,
             candidate_count=len(candidates.targets),
-            rest_left_s=self.targets.asked.rest_left_s(target, now),
+            backoff_left_s=self.targets.backpressure.rest_left_s(target, now),
             now=now,
         )
-        self.targets.asked.on_chosen(target, now)
+        self.targets.backpressure.on_chosen(target, now)
         exchange.send_to(target)
 
-    def on_marks(self, now: float) -> None:
+    def reject_quarantined(self, now: float) -> None:
         """Reject queued requests that are quarantined by now."""
         for service in self._queues.list_waiting_services():
             for number in self._queues.get(service).gate.numbers():
                 exchange = self._open_exchanges.get(number)
                 if exchange is not None:
-                    self.ends.reject_if_quarantined(exchange, now)
+                    self.crash_detector.reject_if_quarantined(exchange, now)
 
     def retry(self, exchange: exchange_lib.Exchange) -> None:
         """Send a request to another target if the retry budget allows."""
@@ -377,7 +396,7 @@
         candidates: capacity_lib.Candidates,
         now: float,
     ) -> None:
-        is_retry = exchange.life.deliveries > 0
+        is_retry = exchange.state.deliveries > 0
         if is_retry and not self._take_retry(exchange.service, now):
             exchange.fail(Code.TARGETS_REFUSED)
             return
@@ -388,14 +407,14 @@
         self._recorder.record_retry(taken=taken)
         return taken
 
-    def on_paces(self, paces: dict[str, float], now: float) -> None:
-        """Update the paces of targets and move streams away from slow ones.
+    def update_slowdowns(self, slowdowns: dict[str, float], now: float) -> None:
+        """Update the slowdowns of targets and move streams away from slow ones.
 
         Args:
-            paces: Slowdown factors by target address.
+            slowdowns: Slowdown factors by target address.
             now: Monotonic seconds.
         """
-        self.balancer.on_paces(paces, now)
+        self.balancer.on_paces(slowdowns, now)
         for exchange in stragglers.find_streams_to_move(
             self._open_exchanges.values(), self.balancer, self._directory, now
         ):
@@ -419,25 +438,27 @@
         self.capacity.entry_count = max(len(entries), 1)
         self.neighbours.on_entries(entries)
         names = (entry.name for entry in entries)
-        self.targets.asked.shares.on_entries(names, self.now())
+        self.targets.backpressure.shares.on_entries(names, self.now())
 
     def share(self) -> balance_messages.Share:
         """Return the load report for other entries."""
-        refusing = self.targets.asked.refusing(self.now())
+        refusing = self.targets.backpressure.refusing(self.now())
         return self.balancer.share()._replace(refusing=refusing)
 
     def on_share(self, src: str, msg: balance_messages.Share) -> None:
         """Handle another entry's load report."""
         now = self.now()
         self.balancer.on_share(src, msg, now)
-        self.targets.asked.on_told(msg.refusing, now)
+        self.targets.backpressure.on_told(msg.refusing, now)
 
     def tidy(self) -> None:
         """Close idle connections and drop expired backpressure state."""
         now = self.now()
         self.pool.tidy()
         self.targets.tidy(now)
-        self._recorder.record_signal_counts(self.targets.asked.counts(now))
+        self._recorder.record_signal_counts(
+            self.targets.backpressure.counts(now)
+        )
 
     # Completion.
 
@@ -466,24 +487,24 @@
     def reject(self, exchange: exchange_lib.Exchange, code: Code) -> None:
         """Send a result code to the caller, with the delay before a retry."""
         now = self.now()
-        self._refusals.refuse(
+        self._rejections.reject(
             exchange.answering,
-            exchange.life.ask,
+            exchange.state.caller_headers,
             code,
             now,
             outage=self._outages.of(exchange.service).lasts(now),
-            expected_wait_s=exchange.life.expected_wait_s,
-            quarantine_s=self.ends.find_verdict(exchange, now).held_s,
+            expected_wait_s=exchange.state.expected_wait_s,
+            quarantine_s=self.crash_detector.find_verdict(exchange, now).held_s,
         )
 
     def _turn_away_request(
         self,
         answering: http_server.Answering,
-        ask: dialect_lib.Ask | None,
+        caller_headers: dialect_lib.CallerHeaders | None,
         code: Code,
         detail: str,
     ) -> None:
         self._recorder.record_turned_away(
-            ask, code, detail, self._config_version
+            caller_headers, code, detail, self._config_version
         )
-        self._refusals.refuse(answering, ask, code, self.now())
+        self._rejections.reject(answering, caller_headers, code, self.now())
--- a/jasperweir/components/forward/notes.py
+++ b/jasperweir/components/forward/outcome_tracker.py
@@ -11,13 +11,13 @@
 from jasperweir.components.directory import records
 from jasperweir.components.forward import available_targets
 from jasperweir.components.forward import exchange as exchange_lib
-from jasperweir.components.forward import life as life_lib
 from jasperweir.components.forward import queues as queues_lib
 from jasperweir.components.forward import recorder as recorder_lib
+from jasperweir.components.forward import request_state
 from jasperweir.components.forward import startup_grace as startup_grace_lib
 
 
-class Notes:
+class OutcomeTracker:
     """Updates outages, backpressure and forecasts from the outcome of attempts.
 
     Attributes:
@@ -37,7 +37,7 @@
         startup_grace: startup_grace_lib.StartupGrace,
     ) -> None:
         self.on_replaced: Callable[[records.Target], None] = lambda _: None
-        self.on_leaving: Callable[[records.Target], None] = lambda _: None
+        self.on_draining: Callable[[records.Target], None] = lambda _: None
         self._clock = clock
         self._targets = targets
         self._balancer = balancer
@@ -54,26 +54,28 @@
     ) -> None:
         """Handle the backpressure signals in a response head."""
         now = self._clock.monotonic()
-        changes = self._targets.asked.on_answer(target, signals, now, sent_at)
+        changes = self._targets.backpressure.on_answer(
+            target, signals, now, sent_at
+        )
         self._recorder.record_signals(target, signals, changes)
         if asked_lib.Change.LEAVES in changes:
-            self.on_leaving(target)
+            self.on_draining(target)
 
     def on_fault(
         self,
         exchange: exchange_lib.Exchange,
         target: records.Target,
-        fault: life_lib.Fault,
+        fault: request_state.Fault,
         reason: str,
     ) -> None:
         """Handle an attempt that brought no usable response."""
         now = self._clock.monotonic()
-        if fault is life_lib.Fault.REPLACED:
+        if fault is request_state.Fault.REPLACED:
             self.on_replaced(target)
         # Backpressure of one target does not indicate an outage of its service.
-        is_resting = self._targets.asked.bars(target, now)
-        if fault is life_lib.Fault.NOT_RUN and not is_resting:
-            self._targets.asked.on_refused(target, now)
+        is_backing_off = self._targets.backpressure.bars(target, now)
+        if fault is request_state.Fault.NOT_RUN and not is_backing_off:
+            self._targets.backpressure.on_refused(target, now)
             threshold = const.OUTAGE_REFUSALS
             if self._startup_grace.is_active(now):
                 threshold = const.START_REFUSALS
@@ -87,7 +89,7 @@
     ) -> None:
         """Handle a request that a target has accepted."""
         now = self._clock.monotonic()
-        if self._targets.asked.on_taken(target, now):
+        if self._targets.backpressure.on_taken(target, now):
             self._recorder.record_recovery(target)
         if self._outages.of(exchange.service).on_answer(now):
             self._targets.on_service_recovered(exchange.service, now)
--- a/jasperweir/components/forward/queues.py
+++ b/jasperweir/components/forward/queues.py
@@ -82,14 +82,14 @@
             exchange: The request.
             not_before: Earliest time to send it, monotonic seconds.
         """
-        life = exchange.life
+        state = exchange.state
         queue = self.get(exchange.service)
         queue.gate.wait(
             gate_lib.Waiting(
-                priority=life.match.priority,
-                since=life.asked_at,
+                priority=state.match.priority,
+                since=state.asked_at,
                 number=exchange.number,
-                until=life.waits_until,
+                until=state.waits_until,
                 not_before=not_before,
                 timely_until=self._timely_until(exchange),
             )
@@ -104,12 +104,12 @@
         return now <= self._timely_until(exchange)
 
     def _timely_until(self, exchange: exchange_lib.Exchange) -> float:
-        life = exchange.life
-        if life.is_resumed:
+        state = exchange.state
+        if state.is_resumed:
             # The caller cannot retry a partial response again, so the rest is
             # worth sending however late it is.
             return math.inf
-        target_end = life.asked_at + life.match.route.target_s
+        target_end = state.asked_at + state.match.route.target_s
         return target_end - self.get(exchange.service).forecast.first_s
 
     def count_admissible(
--- a/jasperweir/components/forward/recorder.py
+++ b/jasperweir/components/forward/recorder.py
@@ -8,7 +8,7 @@
 from jasperweir.components.directory import records
 from jasperweir.components.forward import dialect as dialect_lib
 from jasperweir.components.forward import exchange as exchange_lib
-from jasperweir.components.forward import life as life_lib
+from jasperweir.components.forward import request_state
 from jasperweir.components.quarantine import ledger as ledger_lib
 from jasperweir.components.quarantine import suspects as suspects_lib
 from jasperweir.helpers import logs
@@ -32,7 +32,7 @@
         unreported: int,
         free_slots: int,
         candidate_count: int,
-        rest_left_s: float,
+        backoff_left_s: float,
         now: float,
     ) -> None:
         """Record the choice of a target.
@@ -44,44 +44,46 @@
             unreported: Those of them that no entry has reported.
             free_slots: Free slots at the candidate targets.
             candidate_count: Number of candidate targets.
-            rest_left_s: Time left of the pause that the target asked for,
+            backoff_left_s: Time left of the back-off that the target requested,
                 seconds.
             now: Monotonic seconds.
         """
-        life = exchange.life
+        state = exchange.state
         _log.info(
             "target chosen",
-            id=life.ask.request_id,
+            id=state.caller_headers.request_id,
             target=target.target_id,
             open=open_requests,
             unknown=unreported,
             free=free_slots,
             targets=candidate_count,
-            rest_left_ms=round(rest_left_s * 1000),
-            waited_ms=round((now - life.arrived) * 1000),
-            sends=life.attempts,
+            rest_left_ms=round(backoff_left_s * 1000),
+            waited_ms=round((now - state.arrived) * 1000),
+            sends=state.attempts,
         )
 
     def record_wait(self, exchange: exchange_lib.Exchange, now: float) -> None:
         """Record that a request waits for a slot or for a target."""
-        life = exchange.life
-        self._metrics.inc("waits", last_try=str(life.is_last_try).lower())
+        state = exchange.state
+        self._metrics.inc("waits", last_try=str(state.is_last_try).lower())
         _log.info(
             "request waits",
-            id=life.ask.request_id,
+            id=state.caller_headers.request_id,
             service=exchange.service,
-            sends=life.attempts,
-            used_ms=round((life.arrived - life.asked_at) * 1000),
-            foreseen_ms=round(life.expected_wait_s * 1000),
-            until_ms=round((life.waits_until - now) * 1000),
+            sends=state.attempts,
+            used_ms=round((state.arrived - state.asked_at) * 1000),
+            foreseen_ms=round(state.expected_wait_s * 1000),
+            until_ms=round((state.waits_until - now) * 1000),
         )
 
-    def record_buffered(self, ask: dialect_lib.Ask, wait_s: float) -> None:
+    def record_buffered(
+        self, caller_headers: dialect_lib.CallerHeaders, wait_s: float
+    ) -> None:
         """Record that a request waits for a configuration."""
         self._metrics.inc("kept_without_configuration")
         _log.info(
             "request kept without configuration",
-            id=ask.request_id,
+            id=caller_headers.request_id,
             until_ms=round(wait_s * 1000),
         )
 
@@ -140,41 +142,41 @@
         now: float,
     ) -> None:
         """Record the outcome of a request."""
-        life = exchange.life
+        state = exchange.state
         first_byte_at = exchange.first_byte_at
         self._metrics.inc(
-            "requests", route=life.match.route.name, outcome=outcome
+            "requests", route=state.match.route.name, outcome=outcome
         )
-        self._metrics.observe("request_seconds", now - life.arrived)
+        self._metrics.observe("request_seconds", now - state.arrived)
         if first_byte_at:
             self._metrics.observe(
-                "first_byte_seconds", first_byte_at - life.arrived
+                "first_byte_seconds", first_byte_at - state.arrived
             )
         _log.info(
             "request ended",
-            id=life.ask.request_id,
-            route=life.match.route.name,
-            customer=life.customer_name,
+            id=state.caller_headers.request_id,
+            route=state.match.route.name,
+            customer=state.customer_name,
             service=exchange.service,
             target=exchange.target_id,
-            sends=life.attempts,
+            sends=state.attempts,
             outcome=outcome,
             version=version,
-            first_ms=round((first_byte_at - life.arrived) * 1000)
+            first_ms=round((first_byte_at - state.arrived) * 1000)
             if first_byte_at
             else -1,
             gap_ms=round(exchange.longest_gap_s * 1000),
-            total_ms=round((now - life.arrived) * 1000),
-            used_ms=round((life.arrived - life.asked_at) * 1000),
-            target_ms=round(life.match.route.target_s * 1000),
-            gap_target_ms=round(life.match.route.gap_s * 1000),
+            total_ms=round((now - state.arrived) * 1000),
+            used_ms=round((state.arrived - state.asked_at) * 1000),
+            target_ms=round(state.match.route.target_s * 1000),
+            gap_target_ms=round(state.match.route.gap_s * 1000),
         )
 
     def record_fault(
         self,
         exchange: exchange_lib.Exchange,
         target: records.Target,
-        fault: life_lib.Fault,
+        fault: request_state.Fault,
         reason: str,
         open_requests: int,
     ) -> None:
@@ -182,7 +184,7 @@
         self._metrics.inc("faults", fault=fault.value)
         _log.info(
             "send failed",
-            id=exchange.life.ask.request_id,
+            id=exchange.state.caller_headers.request_id,
             target=target.target_id,
             address=target.address,
             fault=fault.value,
@@ -209,7 +211,7 @@
             )
 
     def record_recovery(self, target: records.Target) -> None:
-        """Record that a target accepts requests after a pause."""
+        """Record that a target accepts requests after a back-off."""
         _log.info(
             "target takes requests again",
             target=target.target_id,
@@ -247,10 +249,10 @@
         self._metrics.inc("held_back")
         _log.info(
             "request held back",
-            id=exchange.life.ask.request_id,
+            id=exchange.state.caller_headers.request_id,
             ends=verdict.ends,
             held_s=round(verdict.held_s),
-            sends=exchange.life.attempts,
+            sends=exchange.state.attempts,
         )
 
     def record_move(
@@ -261,23 +263,23 @@
         self._metrics.inc("moves")
         _log.info(
             "stream leaves target",
-            id=exchange.life.ask.request_id,
+            id=exchange.state.caller_headers.request_id,
             target=exchange.target_id,
-            last_event=exchange.life.last_event_id,
+            last_event=exchange.state.last_event_id,
         )
 
     def record_timeout(self, exchange: exchange_lib.Exchange) -> None:
         """Record that the deadline of a request has passed."""
         _log.info(
             "time is up",
-            id=exchange.life.ask.request_id,
+            id=exchange.state.caller_headers.request_id,
             target=exchange.target_id,
-            sends=exchange.life.attempts,
+            sends=exchange.state.attempts,
         )
 
     def record_turned_away(
         self,
-        ask: dialect_lib.Ask | None,
+        caller_headers: dialect_lib.CallerHeaders | None,
         code: result_codes.Code,
         detail: str,
         version: int,
@@ -286,7 +288,7 @@
         self._metrics.inc("turned_away", code=code.name.lower())
         _log.info(
             "request turned away",
-            id=ask.request_id if ask else "",
+            id=caller_headers.request_id if caller_headers else "",
             code=code.name.lower(),
             detail=detail,
             version=version,
--- a/jasperweir/components/forward/refusals.py
+++ b/jasperweir/components/forward/rejections.py
@@ -10,7 +10,7 @@
 Code = result_codes.Code
 
 
-class Refusals:
+class RejectionResponder:
     """Sends responses for result codes."""
 
     def __init__(
@@ -19,10 +19,10 @@
         self._dialect = dialect
         self._advice = advice_lib.ReturnAdvice(rng=rng)
 
-    def refuse(
+    def reject(
         self,
         answering: http_server.Answering,
-        ask: dialect_lib.Ask | None,
+        caller_headers: dialect_lib.CallerHeaders | None,
         code: Code,
         now: float,
         *,
@@ -34,7 +34,8 @@
 
         Args:
             answering: Response channel to the caller.
-            ask: Metadata from the request's headers, None if malformed.
+            caller_headers: Metadata from the request's headers, None if they
+                are malformed.
             code: The result code.
             now: Monotonic seconds.
             outage: Whether all targets of the service refuse requests.
@@ -42,7 +43,7 @@
             quarantine_s: Remaining quarantine time of the request, seconds.
         """
         row = result_codes.TABLE[code]
-        headers = self._dialect.own_headers(ask)
+        headers = self._dialect.build_own_headers(caller_headers)
         headers.append((b"jasperweir-code", b"%d" % int(code)))
         if row.http == 503:
             retry_after_s = quarantine_s or self._compute_retry_after_s(
--- a/jasperweir/components/forward/life.py
+++ b/jasperweir/components/forward/request_state.py
@@ -47,12 +47,12 @@
 Decision = Retry | Fail | Abort
 
 
-class Life:
+class RequestState:
     """State of one request and the decisions that follow from it.
 
     Attributes:
         match: Route and customer.
-        ask: Metadata from the caller's headers.
+        caller_headers: Metadata from the caller's headers.
         arrived: When the request arrived, monotonic seconds.
         asked_at: When the caller made its first attempt, as estimated from the
             deadline it states, monotonic seconds.
@@ -76,7 +76,7 @@
         self,
         *,
         match: index.Match,
-        ask: dialect_lib.Ask,
+        caller_headers: dialect_lib.CallerHeaders,
         now: float,
         used_s: float = 0.0,
     ) -> None:
@@ -84,15 +84,15 @@
 
         Args:
             match: Route and customer.
-            ask: Metadata from the caller's headers.
+            caller_headers: Metadata from the caller's headers.
             now: Arrival of the request, monotonic seconds.
             used_s: Time that the caller spent on earlier attempts, seconds.
         """
         self.match = match
-        self.ask = ask
+        self.caller_headers = caller_headers
         self.arrived = now
         self.asked_at = now - used_s
-        patience_s = ask.patience_s
+        patience_s = caller_headers.patience_s
         if patience_s is None:
             patience_s = const.DEFAULT_DEADLINE_SECONDS
         self.caller_deadline = now + patience_s
@@ -103,7 +103,7 @@
         self.tried_target_ids: set[str] = set()
         self.may_have_run = False
         self.response_started = False
-        self.last_event_id = ask.resume_after
+        self.last_event_id = caller_headers.resume_after
         self.expected_wait_s = 0.0
         self.startup_deadline = float("-inf")
 
@@ -121,7 +121,10 @@
     @property
     def is_resumed(self) -> bool:
         """Whether the caller resumes a response that broke off."""
-        return bool(self.ask.resume_after) and self.match.route.resumable
+        return (
+            bool(self.caller_headers.resume_after)
+            and self.match.route.resumable
+        )
 
     @property
     def is_last_try(self) -> bool:
@@ -239,7 +242,7 @@
         return self.fail(Code.OVERLOADED)
 
     def classify_response(
-        self, status: int, head: dialect_lib.TargetHead
+        self, status: int, head: dialect_lib.ResponseHead
     ) -> Fault | None:
         """Return the fault that the head of a response shows.
 
--- a/jasperweir/daemons/site_entry.py
+++ b/jasperweir/daemons/site_entry.py
@@ -17,8 +17,8 @@
 from jasperweir.components.directory import const as directory_const
 from jasperweir.components.directory import records
 from jasperweir.components.follow import follower as follower_lib
+from jasperweir.components.forward import crash_detector
 from jasperweir.components.forward import dialect as dialect_lib
-from jasperweir.components.forward import end_watch
 from jasperweir.components.forward import forwarder as forwarder_lib
 from jasperweir.components.mapswitch import messages as mapswitch_messages
 from jasperweir.components.quarantine import const as quarantine_const
@@ -116,11 +116,11 @@
         self._share_due = False
         self._forwarder.balancer.on_change = self._on_load_change
         self._forwarder.is_certain = self._is_certain
-        self._forwarder.notes.on_replaced = self._on_replaced
-        self._forwarder.notes.on_leaving = self._on_leaving
+        self._forwarder.outcomes.on_replaced = self._on_replaced
+        self._forwarder.outcomes.on_draining = self._on_leaving
         self._forwarder.on_work = self._tick_soon
-        self._forwarder.ends.on_marks = self._on_marks
-        ledger = self._forwarder.ends.ledger
+        self._forwarder.crash_detector.on_marks = self._on_marks
+        ledger = self._forwarder.crash_detector.ledger
         self._spread = spread_lib.EntrySpread(ledger=ledger)
         page = held_page.HeldPage(
             ledger=ledger, now=self._host.now, on_lifted=self._on_marks
@@ -196,11 +196,11 @@
                 return
             case quarantine_messages.Marks() | quarantine_messages.Compare():
                 self._send_all(self._spread.receive(src, msg, now))
-                self._forwarder.on_marks(now)
+                self._forwarder.reject_quarantined(now)
                 return
             case mapswitch_messages.SlowTargets():
                 paces = {t.address: t.pace for t in msg.targets}
-                self._forwarder.on_paces(paces, now)
+                self._forwarder.update_slowdowns(paces, now)
                 return
         self._perform(self._follower.receive(src, msg, now))
         if not self._follower.node.open and not self._stopping_at:
@@ -208,18 +208,18 @@
             self._follow()
         self._follow_alarm.set(self._follower.next_tick(now))
 
-    def _on_marks(self, marks: end_watch.Marks) -> None:
+    def _on_marks(self, marks: crash_detector.Marks) -> None:
         """Tell the other processes under which requests targets ended."""
         now = self._host.now()
         names = [node.name for node in self._forwarder.neighbours.peers]
         names += self._follower.heard_controls(now)
         self._send_all(spread_lib.tell(marks, names))
-        self._forwarder.on_marks(now)
+        self._forwarder.reject_quarantined(now)
 
     def _compare_marks(self) -> None:
         now = self._host.now()
-        self._forwarder.ends.tick(now)
-        ledger = self._forwarder.ends.ledger
+        self._forwarder.crash_detector.tick(now)
+        ledger = self._forwarder.crash_detector.ledger
         self._host.metrics.gauge("requests_held", float(len(ledger.held(now))))
         self._send_all(self._spread.compare(self._follower.heard_controls(now)))
 
