--- a/features/harness/hop.py
+++ b/features/harness/hop.py
@@ -22,7 +22,7 @@
 
 
 class Target:
-    """Send events up to a number, then stand still until told to go on."""
+    """Sends events up to a number, then keeps the connection open."""
 
     def __init__(self, *, stops_after):
         self.stops_after = stops_after
@@ -58,7 +58,10 @@
 
 
 class Ending:
-    """Break off the first answer; end with it unless told to listen on."""
+    """Closes the connection before it responds.
+
+    It also stops listening, like a crashed process, unless told otherwise.
+    """
 
     def __init__(self, *, listens):
         self._listens = listens
@@ -83,7 +86,7 @@
 
 
 class Dialect:
-    """A protocol with one header: the event after which to go on."""
+    """A protocol with one header: the id of the last received event."""
 
     def build_target_headers(self, req, target_request):
         return [(b"after", (target_request.resume_after or "0").encode())]
@@ -99,7 +102,7 @@
 
 
 class Answering:
-    """Keep what a caller gets."""
+    """Records the response to a caller."""
 
     def __init__(self):
         self.request = http_message.Request(
@@ -154,7 +157,7 @@
 
 
 class Hop:
-    """One forwarder, a target that stands still, and another one."""
+    """A forwarder, a target whose stream stalls, and another target."""
 
     def __init__(self, *, route, retries=50.0, clock=None):
         self.slow = Target(stops_after=3)
@@ -202,18 +205,18 @@
         found = site.target(target_id=name, address=target.address)
         self.directory.merge(found, self.forwarder.now())
 
-    async def turn_slow(self, pace):
+    async def turn_slow(self, slowdown):
         now = self.forwarder.now()
-        self.forwarder.update_slowdowns({self.slow.address: pace}, now)
+        self.forwarder.update_slowdowns({self.slow.address: slowdown}, now)
         await asyncio.sleep(SETTLE_SECONDS)
 
     def fill(self, name):
-        """Let another entry have taken every place at a target."""
+        """Occupy every slot at a target."""
         for _ in range(100):
             self.forwarder.balancer.begin(name)
 
     def empty(self, name):
-        """Let the places that were taken become free."""
+        """Release the slots that ``fill`` occupied."""
         for _ in range(100):
             self.forwarder.balancer.finish(name)
 
--- a/features/steps/split_steps.py
+++ b/features/steps/split_steps.py
@@ -1,4 +1,4 @@
-"""Steps of a core that is cut into halves."""
+"""Steps for a control cluster that is partitioned into halves."""
 
 import itertools
 import random
@@ -9,105 +9,119 @@
 
 from features.harness import site as site_lib
 
-FOUND_SECONDS = 12.0
+BOOTSTRAP_SECONDS = 12.0
 
 
-def make(controls, losses):
+def make_site(controls, losses):
+    """Start a site that tolerates this number of lost control VMs."""
     site = site_lib.Site(controls=controls, wanted=2 * losses + 1)
-    site.run(FOUND_SECONDS)
+    site.run(BOOTSTRAP_SECONDS)
     return site
 
 
-def leader(site):
-    """Return a control VM that surely leads, or an empty name."""
+def find_leader(site):
+    """Return a control VM that holds the leader lease, or an empty name."""
     for name, node in site.nodes.items():
         if node.voter.read_index(site.now) is not None:
             return name
     return ""
 
 
-def voters(site):
-    node = site.nodes[leader(site)]
+def find_voters(site):
+    """Return the names of the voters, as known to the leader."""
+    node = site.nodes[find_leader(site)]
     return {seat.name for seat in node.voter.seats.seats if seat.voting}
 
 
 @given("a site with {controls:d} control VMs of which {losses:d} may be lost")
 def step_site(context, controls, losses):
     context.controls, context.losses = controls, losses
-    context.site = make(controls, losses)
+    context.site = make_site(controls, losses)
 
 
-def cut(context, half):
-    """Cut one half off the other; return what became of it."""
-    site = make(context.controls, context.losses)
+def partition(context, half):
+    """Partition a site for 6 s.
+
+    Returns:
+        The leader, whether it accepted a configuration, and the versions that
+        the control VMs have after the partition has healed.
+    """
+    site = make_site(context.controls, context.losses)
     other = [name for name in site.names if name not in half]
     for one, two in itertools.product(half, other):
         site.cut_pair(one, two)
-    # A leader on the smaller side has lost its lease by then.
+    # After 3 s a leader on the smaller side has lost its lease.
     site.run(3.0)
-    led = leader(site)
-    taken = None
-    if led:
-        taken = site.replace(led, 9)
+    leader = find_leader(site)
+    call = None
+    if leader:
+        call = site.replace(leader, 9)
         site.run(3.0)
     site.cut.clear()
-    # A machine that was cut off or is new has so long on the larger sites.
+    # Time for partitioned and new control VMs of large sites to catch up.
     site.run(6.0)
-    held = {node.machine.declared().version for node in site.nodes.values()}
-    return led, taken in site.results or site.acked[0] == 9, held
+    versions = {node.machine.declared().version for node in site.nodes.values()}
+    return leader, call in site.results or site.acked[0] == 9, versions
 
 
-@when("the control VMs are cut into halves for 6 s, in each of {count:d} ways")
-def step_cut(context, count):
+@when(
+    "the control VMs are partitioned into halves for 6 s, in each of {count:d} "
+    "ways"
+)
+def step_partition(context, count):
     names = context.site.names
     halves = list(itertools.combinations(names, len(names) // 2))
     random.Random(1).shuffle(halves)
-    context.became = [cut(context, half) for half in halves[:count]]
+    context.outcomes = [partition(context, half) for half in halves[:count]]
 
 
-@then("each time one half has led within 3 s and taken in a configuration")
-def step_led(context):
-    for led, taken, _ in context.became:
-        assert led, "nobody led"
-        assert taken, "it was not taken in"
+@then(
+    "each time one half elects a leader within 3 s and accepts a configuration"
+)
+def step_elected(context):
+    for leader, accepted, _ in context.outcomes:
+        assert leader, "no leader was elected"
+        assert accepted, "the configuration was not accepted"
 
 
-@then("each time all of them have it 6 s after the cut")
-def step_held(context):
-    for _, _, held in context.became:
-        assert held == {9}, held
+@then("each time all of them have it 6 s after the partition")
+def step_replicated(context):
+    for _, _, versions in context.outcomes:
+        assert versions == {9}, versions
 
 
 @when("a voter is lost for good and {seconds:d} seconds pass")
 def step_lost(context, seconds):
     site = context.site
-    context.lost = sorted(voters(site) - {leader(site)})[0]
+    context.lost = sorted(find_voters(site) - {find_leader(site)})[0]
     site.kill(context.lost)
     site.run(seconds)
 
 
 @then("there are {count:d} voters again without it")
-def step_again(context, count):
-    found = voters(context.site)
+def step_replaced(context, count):
+    found = find_voters(context.site)
     assert len(found) == count and context.lost not in found, found
 
 
-@when("as many more are lost as may be")
-def step_more(context):
+@when("as many more voters are lost as may be")
+def step_more_losses(context):
     site = context.site
-    for name in sorted(voters(site) - {leader(site)})[: context.losses]:
+    for name in sorted(find_voters(site) - {find_leader(site)})[
+        : context.losses
+    ]:
         site.kill(name)
     site.run(4.0)
 
 
-@then("a configuration is taken in")
-def step_taken(context):
+@then("a configuration is accepted")
+def step_accepted(context):
     site = context.site
-    site.replace(leader(site), 5)
+    site.replace(find_leader(site), 5)
     site.run(2.0)
     assert site.acked[0] == 5, site.acked
 
 
 @then("there are {count:d} voters")
 def step_voters(context, count):
-    assert len(voters(context.site)) == count, voters(context.site)
+    assert len(find_voters(context.site)) == count, find_voters(context.site)
--- a/features/steps/stragglers_steps.py
+++ b/features/steps/stragglers_steps.py
@@ -1,4 +1,4 @@
-"""Steps on streams that leave slow targets."""
+"""Steps for streams that move away from slow targets."""
 
 import asyncio
 
@@ -9,37 +9,38 @@
 from features.harness import hop
 
 
-@given("{what} that has got 3 events from a target")
-def step_stream(context, what):
+@given("{stream} that has received 3 events from a target")
+def step_stream(context, stream):
     route = hop.route(
-        resumable="can't be resumed" not in what,
-        attempts=1 if "one attempt" in what else 2,
+        resumable="can't be resumed" not in stream,
+        attempts=1 if "one attempt" in stream else 2,
     )
     context.hop = hop.Hop(
-        route=route, retries=0.0 if "without a retry" in what else 50.0
+        route=route, retries=0.0 if "without a retry" in stream else 50.0
     )
 
 
-async def turn_slow(one, pace, full):
-    await one.start()
-    assert one.answering.ids() == [1, 2, 3], one.answering.body
+async def report_slow(hop_, slowdown, full):
+    """Report a slow target once the caller has received 3 events."""
+    await hop_.start()
+    assert hop_.answering.ids() == [1, 2, 3], hop_.answering.body
     if full:
-        one.fill("other")
-    await one.turn_slow(pace)
-    one.close()
+        hop_.fill("other")
+    await hop_.turn_slow(slowdown)
+    hop_.close()
 
 
-@when("its target turns out to be {pace:g} times slower and {places}")
-def step_slow_places(context, pace, places):
-    asyncio.run(turn_slow(context.hop, pace, places.startswith("no ")))
+@when("its target is reported {slowdown:g} times slower and {slots}")
+def step_slow_slots(context, slowdown, slots):
+    asyncio.run(report_slow(context.hop, slowdown, slots.startswith("no ")))
 
 
-@when("its target turns out to be {pace:g} times slower")
-def step_slow(context, pace):
-    asyncio.run(turn_slow(context.hop, pace, full=False))
+@when("its target is reported {slowdown:g} times slower")
+def step_slow(context, slowdown):
+    asyncio.run(report_slow(context.hop, slowdown, full=False))
 
 
-@then("the caller gets events 1 to 6 in order, as one answer")
+@then("the caller gets events 1 to 6 in order, as one response")
 def step_in_order(context):
     answering = context.hop.answering
     assert answering.ids() == [1, 2, 3, 4, 5, 6], answering.body
@@ -51,7 +52,7 @@
     assert context.hop.slow.closed
 
 
-@then("its target still has it")
+@then("the stream stays at its target")
 def step_stays(context):
     assert not context.hop.slow.closed
     assert context.hop.other.requests == 0
--- a/features/stragglers.feature
+++ b/features/stragglers.feature
@@ -1,20 +1,20 @@
-Feature: Streams leave a target that holds up its group
+Feature: Streams move away from a target that delays its group
 
-  Scenario: A stream goes on at another target with the event that follows
-    Given a stream that has got 3 events from a target
-    When its target turns out to be 12 times slower
-    Then the caller gets events 1 to 6 in order, as one answer
+  Scenario: A stream continues at another target with the next event
+    Given a stream that has received 3 events from a target
+    When its target is reported 12 times slower
+    Then the caller gets events 1 to 6 in order, as one response
     And the slow target saw its connection close
 
-  Scenario Outline: A stream stays where it is
-    Given <what> that has got 3 events from a target
-    When its target turns out to be <pace> times slower and <places>
-    Then its target still has it
+  Scenario Outline: A stream stays at its target
+    Given <stream> that has received 3 events from a target
+    When its target is reported <slowdown> times slower and <slots>
+    Then the stream stays at its target
 
     Examples:
-      | what                             | pace | places                |
-      | a stream                         | 2    | others have places    |
-      | a stream                         | 12   | no other has a place  |
-      | a stream that can't be resumed   | 12   | others have places    |
-      | a stream with one attempt        | 12   | others have places    |
-      | a stream without a retry to take | 12   | others have places    |
+      | stream                             | slowdown | slots                   |
+      | a stream                           | 2        | others have free slots  |
+      | a stream                           | 12       | no other has free slots |
+      | a stream that can't be resumed     | 12       | others have free slots  |
+      | a stream with one attempt          | 12       | others have free slots  |
+      | a stream without a retry allowance | 12       | others have free slots  |
