--- a/features/steps/large_steps.py
+++ b/features/steps/large_steps.py
@@ -366,7 +366,7 @@
         now += rng.choice((0.0, 1.0, 10.0))
         # The number of its last announcement is no part of the list.
         kept = [t.target_id for t in directory.serving("s", now)]
-        looked = directory._serving_now("s", now).targets
+        looked = directory._find_ready("s", now).targets
         fresh = [t.target_id for t in looked]
         if kept != fresh:
             context.differs.append((sequence, kept, fresh))
--- a/jasperweir/components/directory/__init__.py
+++ b/jasperweir/components/directory/__init__.py
@@ -1,1 +1,1 @@
-"""Which targets and nodes exist, as they announce themselves."""
+"""Discovery of targets and nodes from their announcements."""
--- a/jasperweir/components/directory/const.py
+++ b/jasperweir/components/directory/const.py
@@ -3,21 +3,22 @@
 KIND_ENTRY = "entry"
 KIND_AGENT = "agent"
 
-# A silent target is forgotten after this long: many heartbeats of 1.2 s, so
-# that the loss of all control VMs for some seconds forgets nobody.
+# Targets without heartbeats are removed after this time, seconds. It spans many
+# heartbeats of 1.2 s, so that an outage of all control VMs removes no target.
 FORGET_SECONDS = 30.0
-# Whether any is silent for that long is looked at this often, seconds.
-FORGET_LOOK_SECONDS = 0.5
-# Of two incarnations at one address, one that was heard this much earlier than
-# the other is there no more: three heartbeats of 1.2 s. Seconds.
+# Interval of the check for targets without heartbeats, seconds.
+FORGET_CHECK_SECONDS = 0.5
+# Of two targets at one address, the one whose last heartbeat is this much older
+# has been replaced, seconds. Three heartbeats of 1.2 s.
 SUCCESSOR_SECONDS = 3.6
-# A target that left is remembered, so that a late heartbeat does not bring it
-# back; late ones come seconds later, a day's length is far above that.
+# A removed target is remembered for this time, seconds, so that a delayed
+# heartbeat does not add it again.
 TOMBSTONE_SECONDS = 120.0
-# Nodes beat this often; three missed beats and a node is left out of the
-# addresses that callers get.
+# Interval of node heartbeats, and the time without them after which a node is
+# removed from the addresses for callers, seconds.
 NODE_BEAT_SECONDS = 0.25
 NODE_SILENT_SECONDS = 0.9
-# Agents beat once a second, since nobody is sent to them.
+# The same for agents, which send a heartbeat once a second, seconds.
 AGENT_SILENT_SECONDS = 3.0
+# Nodes without heartbeats are removed after this time, seconds.
 NODE_FORGET_SECONDS = 10.0
--- a/jasperweir/components/directory/directory.py
+++ b/jasperweir/components/directory/directory.py
@@ -1,4 +1,4 @@
-"""Merge announcements of targets from several control VMs; sans-I/O."""
+"""Target records merged from the announcements of control VMs; sans-I/O."""
 
 import dataclasses
 from typing import NamedTuple
@@ -13,198 +13,229 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Held:
-    """A record with the time of the newest sign of life."""
+class TrackedTarget:
+    """A target record with the times of its heartbeats.
+
+    Attributes:
+        target: The record.
+        received_at: Time of the newest heartbeat, monotonic seconds.
+        first_received_at: When this process first received the record,
+            monotonic seconds.
+    """
 
     target: records.Target
-    heard_at: float
-    first_at: float
+    received_at: float
+    first_received_at: float
 
 
-class Serving(NamedTuple):
-    """Targets that may get new requests, until a time if nothing changes."""
+class ReadyTargets(NamedTuple):
+    """Cached list of the targets of a service that accept new requests.
+
+    Attributes:
+        targets: The targets.
+        valid_until: When the list must be rebuilt, monotonic seconds.
+    """
 
     targets: list[records.Target]
-    until: float
+    valid_until: float
 
 
 class Directory:
     """Target records of one process.
 
-    Presence only moves towards GONE within an incarnation, so a late
-    announcement cannot bring back a target that has said it leaves.
+    Within an incarnation presence only moves towards GONE, so a delayed
+    announcement cannot add a target again that has announced its shutdown.
 
     Attributes:
-        digest: Digest of all records, without their ages, in any order.
+        digest: Digest of all records without ages, independent of their order.
     """
 
     def __init__(self) -> None:
-        self._held: dict[str, Held] = {}
+        self._tracked: dict[str, TrackedTarget] = {}
         self.digest = 0
-        # Lists that were asked for, until a record changes or goes silent.
-        self._serving: dict[str, Serving] = {}
-        self._tick_at = 0.0
+        # Cached lists by service, cleared when a record changes.
+        self._ready_targets: dict[str, ReadyTargets] = {}
+        self._next_tick_at = 0.0
 
     def get(self, target_id: str) -> records.Target | None:
-        """Return the record of an incarnation."""
-        held = self._held.get(target_id)
-        return held.target if held else None
+        """Return the record of a target, or None."""
+        tracked = self._tracked.get(target_id)
+        return tracked.target if tracked else None
 
     def targets(self) -> list[records.Target]:
-        """Return every record, those that are gone included."""
-        return [held.target for held in self._held.values()]
+        """Return all records, including those of targets that are gone."""
+        return [tracked.target for tracked in self._tracked.values()]
 
     def serving(self, service: str, now: float) -> list[records.Target]:
-        """Return the targets of a service that may get new requests.
+        """Return the targets of a service that accept new requests.
 
-        The list is kept until it changes, since it is asked for with each
-        request.
+        The list is cached because it is read for every request.
         """
-        known = self._serving.get(service)
-        if known is None or now >= known.until:
-            known = self._serving_now(service, now)
-            self._serving[service] = known
-        return known.targets
-
-    def _serving_now(self, service: str, now: float) -> Serving:
-        newest: dict[str, Held] = {}
-        until = now + const.FORGET_SECONDS
-        for held in self._held.values():
-            target = held.target
+        ready = self._ready_targets.get(service)
+        if ready is None or now >= ready.valid_until:
+            ready = self._find_ready(service, now)
+            self._ready_targets[service] = ready
+        return ready.targets
+
+    def _find_ready(self, service: str, now: float) -> ReadyTargets:
+        by_address: dict[str, TrackedTarget] = {}
+        valid_until = now + const.FORGET_SECONDS
+        for tracked in self._tracked.values():
+            target = tracked.target
             if target.service != service:
                 continue
             if target.presence is not Presence.READY:
                 continue
-            if now - held.heard_at >= const.FORGET_SECONDS:
+            if now - tracked.received_at >= const.FORGET_SECONDS:
                 continue
-            until = min(until, held.heard_at + const.FORGET_SECONDS)
-            other = newest.get(target.address)
+            valid_until = min(
+                valid_until, tracked.received_at + const.FORGET_SECONDS
+            )
+            other = by_address.get(target.address)
             if other is not None:
-                # Which of the two is there follows from their next heartbeats.
-                until = now
-            if other is None or _displaces(held, other):
-                newest[target.address] = held
-        targets = [held.target for held in newest.values()]
-        return Serving(targets=targets, until=until)
+                # Not cached: the next heartbeats decide which target remains.
+                valid_until = now
+            if other is None or _displaces_other(tracked, other):
+                by_address[target.address] = tracked
+        targets = [tracked.target for tracked in by_address.values()]
+        return ReadyTargets(targets=targets, valid_until=valid_until)
 
     def merge(
         self, target: records.Target, now: float, age: float = 0.0
     ) -> bool:
-        """Take in a record; return whether anything but its age changed."""
-        heard_at = now - age
-        held = self._held.get(target.target_id)
-        if held is None:
+        """Merge a record.
+
+        Args:
+            target: The record.
+            now: Monotonic seconds.
+            age: Time since the target's heartbeat, seconds.
+
+        Returns:
+            Whether anything but heartbeat data changed.
+        """
+        received_at = now - age
+        tracked = self._tracked.get(target.target_id)
+        if tracked is None:
             if age >= const.FORGET_SECONDS:
                 return False
-            self._held[target.target_id] = Held(
-                target=target, heard_at=heard_at, first_at=now
+            self._tracked[target.target_id] = TrackedTarget(
+                target=target, received_at=received_at, first_received_at=now
             )
-            self._changed(None, target)
+            self._on_change(None, target)
             return True
-        match incarnation.compare(target.born, held.target.born):
+        match incarnation.compare(target.born, tracked.target.born):
             case incarnation.Start.EARLIER:
-                # A late word of a start that is over.
+                # A delayed announcement of an earlier start.
                 return False
             case incarnation.Start.LATER:
-                return self._start_anew(held, target, heard_at, now)
-        if now - held.heard_at >= const.FORGET_SECONDS:
-            # Silent for so long that no list names it, and heard again.
-            self._serving.clear()
-        held.heard_at = max(held.heard_at, heard_at)
-        before, merged = held.target, _newer(held.target, target)
-        held.target = merged
-        if _lasting(merged) == _lasting(before):
+                return self._replace_start(tracked, target, received_at, now)
+        if now - tracked.received_at >= const.FORGET_SECONDS:
+            # The target had expired from the cached lists.
+            self._ready_targets.clear()
+        tracked.received_at = max(tracked.received_at, received_at)
+        before, merged = tracked.target, _merge_records(tracked.target, target)
+        tracked.target = merged
+        if _without_volatile_fields(merged) == _without_volatile_fields(before):
             return False
-        self._changed(before, merged)
+        self._on_change(before, merged)
         return True
 
-    def _start_anew(
-        self, held: Held, target: records.Target, heard_at: float, now: float
+    def _replace_start(
+        self,
+        tracked: TrackedTarget,
+        target: records.Target,
+        received_at: float,
+        now: float,
     ) -> bool:
-        """Put a later start in the place of the one that was known."""
-        before = held.target
-        held.target = target
-        held.heard_at = heard_at
-        held.first_at = now
-        self._changed(before, target)
+        """Replace a record by that of a later start of the target."""
+        before = tracked.target
+        tracked.target = target
+        tracked.received_at = received_at
+        tracked.first_received_at = now
+        self._on_change(before, target)
         return True
 
     def leave(
         self, target_id: str, now: float, born: int = 0
     ) -> records.Target:
-        """Note that a target is gone for good; return its record.
+        """Mark a target as gone for good and return its record.
 
         Args:
-            target_id: The target.
+            target_id: Id of the target.
             now: Monotonic seconds.
-            born: Which of its starts is gone, 0 if that is not known. Nothing
-                changes if a later one is known.
+            born: Start time of the incarnation that is gone, 0 if unknown. The
+                record is not changed if it belongs to a later incarnation.
         """
-        held = self._held.get(target_id)
-        if held is None:
-            blank = records.Target(
+        tracked = self._tracked.get(target_id)
+        if tracked is None:
+            placeholder = records.Target(
                 target_id, "", "", "", 0, Presence.GONE, 0, born=born
             )  # fmt: skip
-            held = Held(target=blank, heard_at=now, first_at=now)
-            self._held[target_id] = held
-            self._changed(None, blank)
-        before = held.target
-        told = incarnation.compare(born, before.born)
-        if told is incarnation.Start.EARLIER:
+            tracked = TrackedTarget(
+                target=placeholder, received_at=now, first_received_at=now
+            )
+            self._tracked[target_id] = tracked
+            self._on_change(None, placeholder)
+        before = tracked.target
+        order = incarnation.compare(born, before.born)
+        if order is incarnation.Start.EARLIER:
             return before
-        if told is incarnation.Start.LATER:
+        if order is incarnation.Start.LATER:
             before = before._replace(born=born)
-            self._start_anew(held, before, now, now)
-        held.target = before._replace(presence=Presence.GONE)
-        held.heard_at = now
-        self._changed(before, held.target)
-        return held.target
+            self._replace_start(tracked, before, now, now)
+        tracked.target = before._replace(presence=Presence.GONE)
+        tracked.received_at = now
+        self._on_change(before, tracked.target)
+        return tracked.target
 
     def ages(self, now: float) -> list[float]:
-        """Return the seconds since each target was heard, in order."""
-        return [now - held.heard_at for held in self._held.values()]
+        """Return the time since each target's last heartbeat, seconds."""
+        return [now - tracked.received_at for tracked in self._tracked.values()]
 
     def tick(self, now: float) -> None:
-        """Forget targets that have been silent for long."""
-        if now < self._tick_at:
+        """Remove targets that have sent no heartbeat for long."""
+        if now < self._next_tick_at:
             return
-        self._tick_at = now + const.FORGET_LOOK_SECONDS
-        gone = [
+        self._next_tick_at = now + const.FORGET_CHECK_SECONDS
+        expired = [
             target_id
-            for target_id, held in self._held.items()
-            if now - held.heard_at > _kept_seconds(held.target)
+            for target_id, tracked in self._tracked.items()
+            if now - tracked.received_at
+            > _get_retention_seconds(tracked.target)
         ]
-        for target_id in gone:
-            self._changed(self._held.pop(target_id).target, None)
+        for target_id in expired:
+            self._on_change(self._tracked.pop(target_id).target, None)
 
-    def _changed(
+    def _on_change(
         self, before: records.Target | None, after: records.Target | None
     ) -> None:
-        """Note that a record has changed, has come or is forgotten.
+        """Update the digest and the caches after a record has changed.
 
-        Only its own part of the digest is worked out anew.
+        Args:
+            before: Old record, None if it is new.
+            after: New record, None if it is removed.
         """
         for target in (before, after):
             if target is not None:
                 self.digest ^= _checksum(target)
-        self._serving.clear()
+        self._ready_targets.clear()
 
 
-def _displaces(held: Held, other: Held) -> bool:
-    """Tell which of two incarnations at one address is there now.
+def _displaces_other(tracked: TrackedTarget, other: TrackedTarget) -> bool:
+    """Return whether a target has replaced another one at the same address.
 
-    A target that restarts comes back at its address, so the one that was heard
-    of later is there. But the heartbeat of one that has crashed may come for
-    the first time after its successor's; it is not followed by another. Without
-    the difference it would keep its successor out for up to 30 s.
+    Usually the target whose heartbeat is newer has replaced the other. The
+    first heartbeat of a crashed target may however arrive after that of its
+    successor, and must not hide the successor until it expires. Unless the
+    heartbeats are far apart, the target that was first seen later wins.
     """
-    apart = held.heard_at - other.heard_at
-    if abs(apart) > const.SUCCESSOR_SECONDS:
-        return apart > 0
-    return held.first_at > other.first_at
+    interval_s = tracked.received_at - other.received_at
+    if abs(interval_s) > const.SUCCESSOR_SECONDS:
+        return interval_s > 0
+    return tracked.first_received_at > other.first_received_at
 
 
-def _newer(old: records.Target, new: records.Target) -> records.Target:
+def _merge_records(old: records.Target, new: records.Target) -> records.Target:
     presence = max(old.presence, new.presence)
     old = old._replace(born=old.born or new.born)
     new = new._replace(born=old.born)
@@ -216,15 +247,15 @@
 
 
 def _checksum(target: records.Target) -> int:
-    return hashing.checksum(codec.pack(_lasting(target))) >> 1
+    return hashing.checksum(codec.pack(_without_volatile_fields(target))) >> 1
 
 
-def _lasting(target: records.Target) -> records.Target:
-    """Return a record without what changes with every heartbeat."""
+def _without_volatile_fields(target: records.Target) -> records.Target:
+    """Return a record without the fields that change with every heartbeat."""
     return target._replace(sequence=0, cold_s=0.0)
 
 
-def _kept_seconds(target: records.Target) -> float:
+def _get_retention_seconds(target: records.Target) -> float:
     if target.presence is Presence.READY:
         return const.FORGET_SECONDS
     return const.TOMBSTONE_SECONDS
--- a/jasperweir/components/directory/incarnation.py
+++ b/jasperweir/components/directory/incarnation.py
@@ -1,33 +1,32 @@
-"""Which of two starts of a target a record is about; sans-I/O.
+"""Order of two starts of a target; sans-I/O.
 
-A target may start again under the id that it had. Its id and the time of its
-start together are its incarnation. The times are read from the target's own
-clock and compared with each other only: clocks of VMs differ and jump.
+A target may restart under the same id, so its id and the time of its start
+together identify its incarnation. Start times come from the clock of the
+target's VM and are only compared with each other.
 """
 
 import enum
 
 
 class Start(enum.Enum):
-    """How the start that a record tells of relates to the one that is known."""
+    """Order of a reported start relative to the known start."""
 
     EARLIER = "earlier"
     SAME = "same"
     LATER = "later"
 
 
-def compare(told: int, known: int) -> Start:
+def compare(reported: int, known: int) -> Start:
     """Compare two starts of one target.
 
     Args:
-        told: When the start that a record tells of was, Unix milliseconds, 0
-            if it does not say.
-        known: The same of the start that is known.
+        reported: Start time in a record, Unix milliseconds; 0 if not stated.
+        known: Start time that is known, Unix milliseconds; 0 if not stated.
 
     Returns:
-        How they relate; the same if either does not say, since only a target
-        that states its starts may use its id again.
+        The order; SAME if either time is not stated, because only targets that
+        state their start may reuse an id.
     """
-    if not told or not known or told == known:
+    if not reported or not known or reported == known:
         return Start.SAME
-    return Start.LATER if told > known else Start.EARLIER
+    return Start.LATER if reported > known else Start.EARLIER
--- a/jasperweir/components/directory/records.py
+++ b/jasperweir/components/directory/records.py
@@ -7,7 +7,7 @@
 
 
 class Presence(enum.IntEnum):
-    """How far a target is from leaving; it never goes back."""
+    """Lifecycle state of a target; it only increases."""
 
     READY = 0
     LEAVING = 1
@@ -18,16 +18,16 @@
     """One incarnation of a target.
 
     Attributes:
-        target_id: Its id; a start may use the one of the start before.
+        target_id: Id of the target; a restarted target may reuse it.
         service: Service that it serves.
         address: ``ip:port`` for requests.
         place: Data centre.
-        slots: Requests that it runs at once.
-        presence: Whether it takes new requests.
-        sequence: Number of the announcement, to tell late ones.
-        cold_s: Seconds for which it stays slow after its start.
-        born: When it started by its own clock, Unix milliseconds, 0 if it does
-            not say. With the id this is its incarnation.
+        slots: Number of requests that it runs at once.
+        presence: Whether it accepts new requests.
+        sequence: Number of the announcement, to detect delayed ones.
+        cold_s: Time after its start for which it is still slow, seconds.
+        born: Start time by its own clock, Unix milliseconds; 0 if not stated.
+            Together with the id this identifies its incarnation.
     """
 
     target_id: str
@@ -42,17 +42,17 @@
 
 
 class Node(NamedTuple):
-    """One process of ours that callers connect to, or an agent.
+    """An entry or an agent.
 
     Attributes:
         name: Internal address ``ip:port``, which is also its identity.
         kind: ``entry`` or ``agent``.
         place: Data centre.
         caller_address: ``ip:port`` for callers, empty for an agent.
-        open: Whether callers may be sent there.
-        incarnation: Drawn anew at each start of the process.
-        sequence: Number of the record; the higher one of an incarnation is
-            newer.
+        open: Whether callers may be sent to it.
+        incarnation: Random number drawn at each start of the process.
+        sequence: Number of the record; of one incarnation the record with the
+            highest number is the newest.
     """
 
     name: str
@@ -66,14 +66,15 @@
 
 @codec.message("directory.beat")
 class NodeBeat(NamedTuple):
-    """An entry or agent tells a control VM that it is there.
+    """Heartbeat of an entry or agent to a control VM.
 
     Attributes:
-        node: Its record.
-        version: Configuration version that it acts on.
-        digest: Digest of the target records that this control VM sent last.
-        nodes_digest: Digest of the node list that it sent last.
-        controls_digest: Digest of the control VMs that it named last.
+        node: Record of the sender.
+        version: Configuration version in force at the sender.
+        digest: Digest of the target records last received from this control VM.
+        nodes_digest: Digest of the node list last received from it.
+        controls_digest: Digest of the list of control VMs last received from
+            it.
     """
 
     node: Node
@@ -85,21 +86,21 @@
 
 @codec.message("directory.control_beat")
 class ControlBeat(NamedTuple):
-    """A control VM tells what it knows, in short.
+    """Heartbeat of a control VM with a summary of its state.
 
     Attributes:
-        place: Its data centre.
+        place: Data centre of the sender.
         version: Newest committed configuration version.
-        certain: Whether no newer one can be committed anywhere.
-        keeps_log: Whether it keeps the log on a disk. Nodes talk to those that
-            do; the others pass questions on.
+        certain: Whether no newer version can have been committed.
+        keeps_log: Whether the sender stores the replicated log. Nodes send
+            requests to such control VMs; the others forward them.
         digest: Digest of its target records.
-        controls: Names of the control VMs that nodes talk to; empty to a node
-            that states that it knows them.
+        controls: Names of the control VMs that nodes connect to; empty if the
+            receiver has reported that it knows them.
         controls_digest: Digest of these names.
         nodes_digest: Digest of the entries that callers may use.
-        leader: Name of the control VM that leads, or empty.
-        term: Term of that lead.
+        leader: Name of the leader, or empty.
+        term: Term of that leader.
     """
 
     place: str
@@ -116,7 +117,7 @@
 
 @codec.message("directory.nodes")
 class Nodes(NamedTuple):
-    """The entries that a control VM hears and that callers may use."""
+    """All live entries that callers may use."""
 
     digest: int
     nodes: tuple[Node, ...]
@@ -124,12 +125,12 @@
 
 @codec.message("directory.node_news")
 class NodeNews(NamedTuple):
-    """Entries that callers may use now, or no more.
+    """Change of the list of entries that callers may use.
 
     Attributes:
-        before: Digest of the list that this changes.
-        after: Digest of the list after it.
-        nodes: What has changed; one that is not open has left the list.
+        before: Digest of the list before the change.
+        after: Digest of the list after the change.
+        nodes: Changed entries; one that is not open is removed from the list.
     """
 
     before: int
@@ -139,12 +140,12 @@
 
 @codec.message("directory.targets")
 class Targets(NamedTuple):
-    """Target records of a control VM, with seconds since heard.
+    """Target records of a control VM.
 
     Attributes:
-        digest: Digest of all its records, 0 if these are not all.
+        digest: Digest of all its records, 0 if the message holds only some.
         targets: The records.
-        ages: Seconds since each of them was heard.
+        ages: Time since the last heartbeat of each target, seconds.
     """
 
     digest: int
@@ -154,13 +155,13 @@
 
 @codec.message("directory.news")
 class News(NamedTuple):
-    """A record that has just changed.
+    """A changed target record.
 
     Attributes:
         target: The record.
-        number: Asks for a NewsAck if it is not 0.
-        before: Digest of the sender's records before the change, 0 if a
-            receiver is not to conclude anything from it.
+        number: Number to acknowledge with a TargetUpdateAck, 0 for none.
+        before: Digest of the sender's records before the change, 0 if the
+            receiver must not compare digests.
         after: Digest of the sender's records after the change.
     """
 
@@ -172,6 +173,6 @@
 
 @codec.message("directory.news_ack")
 class NewsAck(NamedTuple):
-    """A control VM holds the record of a numbered News."""
+    """Acknowledgement of a numbered TargetUpdate by a control VM."""
 
     number: int
--- a/script/guards.py
+++ b/script/guards.py
@@ -242,7 +242,7 @@
           "if self.phase is Phase.PREPARING and self.members.any_held():",
           "if False:", "mapswitch"),
     Guard("a successor is not kept out", C + "directory/directory.py",
-          "if abs(apart) > const.SUCCESSOR_SECONDS:", "if False:", "gone"),
+          "if abs(interval_s) > const.SUCCESSOR_SECONDS:", "if False:", "gone"),
     Guard("silent connections are noticed", "jasperweir/helpers/http_client.py",
           "sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)",
           "pass", "gone"),
@@ -291,8 +291,8 @@
           "            return keepers\n        return known",
           "            return known\n        return known", "large"),
     Guard("who was silent is listed again", C + "directory/directory.py",
-          "            # Silent for so long that no list names it, and heard "
-          "again.\n            self._serving.clear()",
+          "            # The target had expired from the cached lists.\n"
+          "            self._ready_targets.clear()",
           "            pass", "large"),
     Guard("stale figures of entries are dropped", C + "balance/balancer.py",
           "if now - peer.heard_at >= const.SHARE_STALE_SECONDS:\n"
@@ -301,14 +301,14 @@
     Guard("an alarm outlives an error", "jasperweir/daemons/loop_host.py",
           "self.set(self._host.now() + RETRY_SECONDS)", "pass", "large"),
     Guard("an earlier start changes nothing", C + "directory/directory.py",
-          "                # A late word of a start that is over.\n"
+          "                # A delayed announcement of an earlier start.\n"
           "                return False", "                pass",
           "incarnation"),
     Guard("a later start displaces", C + "directory/directory.py",
-          "return self._start_anew(held, target, heard_at, now)", "pass",
-          "incarnation"),
+          "return self._replace_start(tracked, target, received_at, now)",
+          "pass", "incarnation"),
     Guard("an earlier start is not retired twice", C + "directory/directory.py",
-          "if told is incarnation.Start.EARLIER:", "if False:", "incarnation"),
+          "if order is incarnation.Start.EARLIER:", "if False:", "incarnation"),
     Guard("connections belong to a start", C + "forward/exchange.py",
           "/{target.born}", "", "incarnation"),
     Guard("a heartbeat names a state of the page",
