--- a/features/steps/gone_steps.py
+++ b/features/steps/gone_steps.py
@@ -1,4 +1,4 @@
-"""Steps on targets, connections and callers that have gone."""
+"""Steps for crashed targets, dead connections and disconnected callers."""
 
 import asyncio
 import socket
@@ -15,57 +15,55 @@
 from jasperweir.helpers import link
 
 ADDRESS = "10.0.0.1:80"
-BEAT_SECONDS = 1.2
-HALF_SECOND = 0.5
+HEARTBEAT_SECONDS = 1.2
+RUN_SECONDS = 0.5
 
 
-@given("a target at an address that beats every 1.2 s")
-def step_beats(context):
+@given("a target that sends a heartbeat every 1.2 s")
+def step_heartbeats(context):
     context.directory = directory.Directory()
     context.now = 100.0
     context.sequence = 0
-    beat(context, "successor", 5.0)
+    send_heartbeats(context, "successor", 5.0)
 
 
-def beat(context, name, seconds=0.0):
+def send_heartbeats(context, name, seconds=0.0):
     end = context.now + seconds
     while True:
         context.sequence += 1
-        found = site.target(name, ADDRESS, context.sequence)
-        context.directory.merge(found, context.now)
-        if context.now + BEAT_SECONDS > end:
+        record = site.target(name, ADDRESS, context.sequence)
+        context.directory.merge(record, context.now)
+        if context.now + HEARTBEAT_SECONDS > end:
             return
-        context.now += BEAT_SECONDS
+        context.now += HEARTBEAT_SECONDS
 
 
-@when(
-    "a heartbeat of an incarnation that crashed there comes for the first time"
-)
-def step_late(context):
+@when("the first heartbeat of a crashed target at its address arrives late")
+def step_crashed_late(context):
     context.now += 0.3
-    beat(context, "crashed")
+    send_heartbeats(context, "crashed")
 
 
-@when("the successor beats on for {seconds:g} seconds")
-def step_beats_on(context, seconds):
+@when("the successor sends heartbeats for {seconds:g} seconds")
+def step_successor(context, seconds):
     context.now += 0.9
-    beat(context, "successor", seconds)
+    send_heartbeats(context, "successor", seconds)
 
 
-@when("another incarnation takes over the address")
+@when("another target takes over the address")
 def step_takes_over(context):
     context.now += 0.4
-    beat(context, "new one")
+    send_heartbeats(context, "new one")
 
 
-@when("a late heartbeat of the first one comes")
-def step_first_again(context):
+@when("a delayed heartbeat of the first one arrives")
+def step_first_delayed(context):
     context.now += 0.8
-    beat(context, "successor")
+    send_heartbeats(context, "successor")
 
 
-@then("requests for the address name the {name}")
-def step_named(context, name):
+@then("requests to the address go to the {name}")
+def step_ready(context, name):
     found = context.directory.serving("s", context.now)
     assert [t.target_id for t in found] == [name], found
 
@@ -76,7 +74,7 @@
 
 
 async def connected_options():
-    """Open a connection and read what the kernel was told of it."""
+    """Open a connection and return its keepalive options."""
     server = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     pool = http_client.Pool(times=http_client.ClientTimes())
@@ -86,18 +84,16 @@
         name: sock.getsockopt(socket.IPPROTO_TCP, getattr(socket, name))
         for name in ("TCP_KEEPIDLE", "TCP_KEEPINTVL", "TCP_USER_TIMEOUT")
     }
-    on = sock.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
+    enabled = sock.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
     conn.close()
     server.close()
-    return options, on
+    return options, enabled
 
 
-@then(
-    "the kernel asks for a sign of life after {idle:d} s and gives up after 2 s"
-)
-def step_asks(context, idle):
-    options, on = context.options
-    assert on, "no sign of life is asked for"
+@then("the kernel sends a keepalive after {idle:d} s and closes it after 2 s")
+def step_keepalive(context, idle):
+    options, enabled = context.options
+    assert enabled, "keepalive is not enabled"
     assert options["TCP_KEEPIDLE"] == options["TCP_KEEPINTVL"] == idle, options
     assert options["TCP_USER_TIMEOUT"] == 2000, options
 
@@ -105,7 +101,7 @@
 @given("a link to another process")
 def step_link(context):
     context.liveness = link.Liveness()
-    made = link.Link(
+    link_ = link.Link(
         name="127.0.0.1:1",
         address="127.0.0.1:1",
         incarnation=lambda: 1,
@@ -114,8 +110,8 @@
     )
     context.zmq = zmq.Context()
     sock = context.zmq.socket(zmq.DEALER)
-    made._set_liveness(sock)
-    context.pinged = (
+    link_._set_liveness(sock)
+    context.heartbeat_options = (
         sock.getsockopt(zmq.HEARTBEAT_IVL),
         sock.getsockopt(zmq.HEARTBEAT_TIMEOUT),
     )
@@ -123,17 +119,17 @@
     context.zmq.term()
 
 
-@then("it is pinged twice a second and closed after 1.5 s of silence")
+@then("it is pinged twice a second and closed after 1.5 s without a reply")
 def step_pinged(context):
-    assert context.pinged == (500, 1500), context.pinged
+    assert context.heartbeat_options == (500, 1500), context.heartbeat_options
 
 
 class SlowAccept(hop.Target):
-    """Let callers wait for a connection."""
+    """A target that accepts no connection until told to."""
 
     async def start(self):
         await super().start()
-        # Nothing is accepted until the queue of new connections is read.
+        # Connections stay in the backlog until ``accept`` is called.
         self._server.close()
         sock = socket.socket()
         sock.bind(("127.0.0.1", 0))
@@ -141,7 +137,7 @@
         self.address = f"127.0.0.1:{port}"
         sock.listen(0)
         self._socket = sock
-        # Fills the queue, so that further connections wait.
+        # These fill the backlog, so that further connections wait.
         self._fillers = [socket.socket() for _ in range(3)]
         for filler in self._fillers:
             filler.setblocking(False)
@@ -155,51 +151,52 @@
         )
 
 
-async def wait_and_leave(context, *, leaves, frees):
-    one = context.hop
-    one.slow = hop.Target(stops_after=hop.EVENTS)
-    await one.prepare()
-    one.announce("slow", one.slow)
-    one.fill("slow")
-    one.forwarder.handle(one.answering)
+async def run_queued(context, *, disconnects, frees):
+    """Queue a request, then disconnect its caller or free the slots."""
+    hop_ = context.hop
+    hop_.slow = hop.Target(stops_after=hop.EVENTS)
+    await hop_.prepare()
+    hop_.announce("slow", hop_.slow)
+    hop_.fill("slow")
+    hop_.forwarder.handle(hop_.answering)
     await asyncio.sleep(0.05)
-    assert one.slow.requests == 0
-    if leaves:
-        one.answering.on_gone()
+    assert hop_.slow.requests == 0
+    if disconnects:
+        hop_.answering.on_gone()
     if frees:
-        one.empty("slow")
-    await ticks(one)
-    one.close()
+        hop_.empty("slow")
+    await run_ticks(hop_)
+    hop_.close()
 
 
-async def ticks(one):
+async def run_ticks(hop_):
     for _ in range(25):
-        one.forwarder.tick()
-        await asyncio.sleep(HALF_SECOND / 25)
+        hop_.forwarder.tick()
+        await asyncio.sleep(RUN_SECONDS / 25)
 
 
-@given("a target whose places are all taken, and a request that waits")
-def step_waits(context):
+@given("a target without free slots, and a queued request")
+def step_queued(context):
     context.hop = hop.Hop(route=hop.route())
 
 
-@when("its caller leaves and the places become free")
-def step_leaves(context):
-    asyncio.run(wait_and_leave(context, leaves=True, frees=True))
+@when("its caller disconnects and the slots become free")
+def step_disconnects(context):
+    asyncio.run(run_queued(context, disconnects=True, frees=True))
 
 
-@when("the places become free")
-def step_frees(context):
-    asyncio.run(wait_and_leave(context, leaves=False, frees=True))
+@when("the slots become free")
+def step_slots_free(context):
+    asyncio.run(run_queued(context, disconnects=False, frees=True))
 
 
 @then("the target has received no request half a second later")
-def step_nothing(context):
+def step_not_sent(context):
     assert context.hop.slow.requests == 0, context.hop.slow.requests
 
 
 @then("the target has received 1 request")
-def step_one(context):
+def step_sent(context):
     assert context.hop.slow.requests == 1, context.hop.slow.requests
 
 
@@ -209,29 +206,30 @@
     context.hop.slow = SlowAccept(stops_after=hop.EVENTS)
 
 
-@given("a target that has sent a first event of an answer")
+@given("a target that has sent the first event of a response")
 def step_first_event(context):
     context.hop = hop.Hop(route=hop.route())
     context.hop.slow = hop.Target(stops_after=1)
 
 
-async def leave_at_once(context):
-    one = context.hop
-    await one.prepare()
-    one.announce("slow", one.slow)
-    one.forwarder.handle(one.answering)
+async def disconnect_at_once(context):
+    """Send a request and disconnect its caller 0.05 s later."""
+    hop_ = context.hop
+    await hop_.prepare()
+    hop_.announce("slow", hop_.slow)
+    hop_.forwarder.handle(hop_.answering)
     await asyncio.sleep(0.05)
-    one.answering.on_gone()
-    if isinstance(one.slow, SlowAccept):
+    hop_.answering.on_gone()
+    if isinstance(hop_.slow, SlowAccept):
         await asyncio.sleep(0.15)
-        await one.slow.accept()
-    await ticks(one)
-    one.close()
+        await hop_.slow.accept()
+    await run_ticks(hop_)
+    hop_.close()
 
 
-@when("its caller leaves at once")
-def step_leaves_at_once(context):
-    asyncio.run(leave_at_once(context))
+@when("its caller disconnects at once")
+def step_disconnects_at_once(context):
+    asyncio.run(disconnect_at_once(context))
 
 
 @then("the target's connection is closed within half a second")
