--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -1,4 +1,4 @@
-"""Steps on targets that start again, and on what other writers send."""
+"""Steps for restarted targets and for malformed input."""
 
 import json
 import pathlib
@@ -21,7 +21,7 @@
 from jasperweir.helpers import http_message
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
-# The adapter's folder has no package around it.
+# The adapter is not part of an installed package.
 sys.path.append(str(ROOT / "platform"))
 
 from adapter import control_calls  # noqa: E402
@@ -76,9 +76,9 @@
 
 
 @when(
-    "it is told of as born at {born:d} with sequence {sequence:d}, {presence}"
+    "it is announced as born at {born:d} with sequence {sequence:d}, {presence}"
 )
-def step_told(context, born, sequence, presence):
+def step_announced(context, born, sequence, presence):
     record = target(born, sequence, PRESENCES[presence])
     context.directory.merge(record, context.now)
 
@@ -90,16 +90,16 @@
     assert found.presence is PRESENCES[presence], found
 
 
-@when("only words of a start before it come for {seconds:d} seconds")
-def step_only_late(context, seconds):
+@when("only announcements of an earlier start arrive for {seconds:d} seconds")
+def step_only_earlier(context, seconds):
     for _ in range(seconds):
         context.now += 1.0
         context.directory.merge(target(500, 99), context.now)
     assert seconds > directory_const.FORGET_SECONDS
 
 
-@then("it is not named any more")
-def step_unnamed(context):
+@then("the target is not listed any more")
+def step_unlisted(context):
     assert not context.directory.serving("s", context.now)
 
 
@@ -114,9 +114,9 @@
 
 
 @when(
-    'it has been deregistered and starts again at {born:d}, heard by "{name}"'
+    'it has been deregistered and restarts at {born:d}, announced to "{name}"'
 )
-def step_again(context, born, name):
+def step_restarted(context, born, name):
     site = context.site
     site.perform("c2", site.nodes["c2"].roster.deregister("t1", site.now).acts)
     site.run(1.0)
@@ -124,15 +124,13 @@
     site.run(0.5)
 
 
-@when('a heartbeat of its start at {born:d} comes late to "{name}"')
-def step_late(context, born, name):
+@when('a delayed heartbeat of its start at {born:d} arrives at "{name}"')
+def step_delayed(context, born, name):
     context.site.announce(name, target(born, 6))
     context.site.run(1.0)
 
 
-@when(
-    "it starts again at {born:d} and then an entry retires the start at {old:d}"
-)
+@when("it restarts at {born:d} and then an entry retires the start at {old:d}")
 def step_retired(context, born, old):
     site = context.site
     site.announce("c1", target(born))
@@ -142,8 +140,8 @@
     site.run(1.0)
 
 
-@when("it starts again at {born:d} and is then deregistered as born at {old:d}")
-def step_late_gone(context, born, old):
+@when("it restarts at {born:d} and is then deregistered as born at {old:d}")
+def step_deregistered_late(context, born, old):
     site = context.site
     site.announce("c1", target(born))
     site.run(1.0)
@@ -152,24 +150,27 @@
     site.run(1.0)
 
 
-@then("every entry names its start at {born:d}")
-def step_every(context, born):
+@then("every entry lists its start at {born:d}")
+def step_every_entry(context, born):
     site = context.site
     for name, follower in site.followers.items():
         found = follower.directory.serving("s", site.now)
         assert [t.born for t in found] == [born], (name, found)
 
 
-@then("pools keep connections to starts at {one:d} and {two:d} apart")
-def step_apart(context, one, two):
-    keys = {exchange._pool_key(target(born)) for born in (one, two)}
+@then(
+    "connections to starts at {first:d} and {second:d} have different pool keys"
+)
+def step_pool_keys(context, first, second):
+    keys = {exchange._pool_key(target(born)) for born in (first, second)}
     assert len(keys) == 2
 
 
-# What other writers send.
+# Malformed input.
 
 
-def read(path, body):
+def parse_call(path, body):
+    """Parse a call to a control VM."""
     req = http_message.Request(
         method=b"POST",
         target=path.encode(),
@@ -180,15 +181,15 @@
     return control_calls.ControlDialect().call(req)
 
 
-def read_heartbeat(body):
-    return read("/Instances.Heartbeat/t1", body)
+def parse_heartbeat(body):
+    return parse_call("/Instances.Heartbeat/t1", body)
 
 
 @when("a heartbeat with {field} set to {value} is read")
 def step_read(context, field, value):
     fields = {**HEARTBEAT, field: "@"}
     body = json.dumps(fields).replace('"@"', value).encode()
-    context.call = read_heartbeat(body)
+    context.call = parse_heartbeat(body)
 
 
 @then("it is refused")
@@ -220,39 +221,44 @@
 
 
 def damaged(example):
-    """Draw bodies that differ from an example, or bytes cut from one."""
+    """Return a strategy for damaged variants of a valid JSON body."""
     names = sorted(example)
 
-    def change(draw):
-        name, how, value, cut = draw
+    def damage(draw):
+        name, how, value, offset = draw
         fields = dict(example)
         match how:
-            case "out":
+            case "missing":
                 del fields[name]
-            case "other":
+            case "replaced":
                 fields[name] = value
             case "unknown":
                 fields["unknown"] = value
         body = json.dumps(fields).encode()
-        if how == "cut":
-            return body[: cut % len(body)]
+        if how == "truncated":
+            return body[: offset % len(body)]
         if how == "doubled":
             return body + body
-        if how == "wrong bytes":
-            at = cut % len(body)
+        if how == "invalid bytes":
+            at = offset % len(body)
             return body[:at] + b"\xff\xfe" + body[at:]
         return body
 
-    ways = ("out", "other", "unknown", "cut", "doubled", "wrong bytes")
+    kinds = (
+        "missing", "replaced", "unknown", "truncated", "doubled",
+        "invalid bytes",
+    )  # fmt: skip
     return st.tuples(
         st.sampled_from(names),
-        st.sampled_from(ways),
+        st.sampled_from(kinds),
         VALUES,
         st.integers(0, 10_000),
-    ).map(change)
+    ).map(damage)
+
 
+def check_examples(count, bodies, check):
+    """Call a check with this number of bodies, the same ones in each run."""
 
-def try_each(count, bodies, check):
     @settings(
         max_examples=count, deadline=None, derandomize=True, database=None
     )
@@ -263,15 +269,15 @@
     run()
 
 
-@when("{count:d} heartbeats and deregistrations drawn from valid ones are read")
-def step_drawn(context, count):
+@when("{count:d} damaged heartbeats and deregistrations are read")
+def step_damaged_calls(context, count):
     context.calls = []
 
     def check(body):
-        context.calls.append(read_heartbeat(body))
-        context.calls.append(read("/Instances.Deregister/t1", body))
+        context.calls.append(parse_heartbeat(body))
+        context.calls.append(parse_call("/Instances.Deregister/t1", body))
 
-    try_each(count, damaged(HEARTBEAT), check)
+    check_examples(count, damaged(HEARTBEAT), check)
 
 
 @then("each is a target, a deregistration or a refusal")
@@ -282,8 +288,8 @@
     assert any(isinstance(call, door.Invalid) for call in context.calls)
 
 
-@then("what was read fits our own messages")
-def step_fits(context):
+@then("every target survives encoding and decoding")
+def step_round_trip(context):
     for call in context.calls:
         if not isinstance(call, door.Announce):
             continue
@@ -291,31 +297,31 @@
         assert codec.unpack(packed, records.News).target == call.target
 
 
-@when("{count:d} answers of engines drawn from valid ones are read")
-def step_engines(context, count):
+@when("{count:d} damaged responses of engines are read")
+def step_damaged_responses(context, count):
     dialect = engine_calls.EngineDialect()
-    context.others = []
-    readers = (
+    context.unexpected = []
+    parsers = (
         (REPORT, dialect.state),
         (COUNTS, dialect.counts),
         (PLACEMENT, dialect.placement),
     )
 
-    def checker(reader):
+    def make_check(parser):
         def check(body):
             try:
-                codec.pack(reader(body))
+                codec.pack(parser(body))
             except ValueError:
                 return
             except Exception as exc:
-                context.others.append((body, repr(exc)))
+                context.unexpected.append((body, repr(exc)))
 
         return check
 
-    for example, reader in readers:
-        try_each(count, damaged(example), checker(reader))
+    for example, parser in parsers:
+        check_examples(count, damaged(example), make_check(parser))
 
 
-@then("each is read or refused with a ValueError")
+@then("each is parsed or rejected with a ValueError")
 def step_value_errors(context):
-    assert not context.others, context.others[:3]
+    assert not context.unexpected, context.unexpected[:3]
