--- a/features/harness/hop.py
+++ b/features/harness/hop.py
@@ -182,7 +182,7 @@
             times=http_client.ClientTimes(),
             metrics=metrics.Metrics(labels={}),
         )
-        self.forwarder.index = index.Index(
+        self.forwarder.index = index.DeploymentIndex(
             deployment=model.Deployment(
                 version=1,
                 routes=(self._route,),
--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -47,7 +47,7 @@
     caller_headers = dialect.CallerHeaders(
         "id", patience_s, "", 10, 10, resume_after
     )
-    match = index.Match(route=route, customer=None)
+    match = index.RouteMatch(route=route, customer=None)
     return request_state.RequestState(
         match=match, caller_headers=caller_headers, now=100.0, used_s=used_s
     )
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -102,7 +102,9 @@
         limits=model.Limits(16384, 65536, 3.0, 15.0),
         customers=(),
     )
-    context.bounds = index.Index(deployment=deployment).passes()
+    context.bounds = index.DeploymentIndex(
+        deployment=deployment
+    ).get_pass_bounds()
 
 
 @then("its passes are to stay below {pause:g} s")
--- a/jasperweir/components/deployment/__init__.py
+++ b/jasperweir/components/deployment/__init__.py
@@ -1,1 +1,1 @@
-"""What operators declare: routes, services, limits and customers."""
+"""Operator configuration: routes, services, limits and customers."""
--- a/jasperweir/components/deployment/check.py
+++ b/jasperweir/components/deployment/check.py
@@ -1,61 +1,68 @@
-"""Rules that a configuration must meet before it is accepted."""
+"""Validation of configurations."""
 
 from jasperweir.components.deployment import model
 
 
 def problems(deployment: model.Deployment) -> list[str]:
-    """Return what is wrong with a configuration, one sentence each."""
-    found = _route_problems(deployment)
-    found += _customer_problems(deployment)
+    """Return the problems of a configuration, one sentence each.
+
+    Returns:
+        An empty list if the configuration is valid.
+    """
+    problems_found = _find_route_problems(deployment)
+    problems_found += _find_customer_problems(deployment)
     if deployment.version < 1:
-        found.append(f"version {deployment.version} is not above 0")
-    return found
+        problems_found.append(f"version {deployment.version} must be above 0")
+    return problems_found
 
 
-def _route_problems(deployment: model.Deployment) -> list[str]:
+def _find_route_problems(deployment: model.Deployment) -> list[str]:
     services = {service.name for service in deployment.services}
-    places: dict[tuple[str, str], str] = {}
-    found = []
+    route_names: dict[tuple[str, str], str] = {}
+    problems_found = []
     if len(services) < len(deployment.services):
-        found.append("two services have one name")
+        problems_found.append("service names are not unique")
     for route in deployment.routes:
-        place = (route.host, route.prefix)
-        if place in places:
-            found.append(
-                f"route {route.name}: same host and prefix as {places[place]}"
+        host_and_prefix = (route.host, route.prefix)
+        if host_and_prefix in route_names:
+            problems_found.append(
+                f"route {route.name}: same host and prefix as "
+                f"{route_names[host_and_prefix]}"
             )
-        places[place] = route.name
+        route_names[host_and_prefix] = route.name
         for backend in route.backends:
             if backend.service not in services:
-                found.append(
+                problems_found.append(
                     f"route {route.name}: unknown service {backend.service}"
                 )
         if any(backend.weight < 0 for backend in route.backends):
-            found.append(f"route {route.name}: a weight is below 0")
+            problems_found.append(f"route {route.name}: a weight is negative")
         if sum(backend.weight for backend in route.backends) <= 0:
-            found.append(f"route {route.name}: its weights add up to 0")
+            problems_found.append(f"route {route.name}: the weights sum to 0")
         if route.timeout_s <= 0:
-            found.append(f"route {route.name}: its timeout is not above 0")
+            problems_found.append(
+                f"route {route.name}: the timeout must be above 0"
+            )
         if not _is_prefix(route.prefix):
-            found.append(
+            problems_found.append(
                 f"route {route.name}: prefix {route.prefix!r} must begin and "
                 "end with a slash"
             )
-    return found
+    return problems_found
 
 
 def _is_prefix(prefix: str) -> bool:
     return prefix.startswith("/") and prefix.endswith("/")
 
 
-def _customer_problems(deployment: model.Deployment) -> list[str]:
-    holders: dict[str, str] = {}
-    found = []
+def _find_customer_problems(deployment: model.Deployment) -> list[str]:
+    key_owners: dict[str, str] = {}
+    problems_found = []
     for customer in deployment.customers:
         for key in customer.keys:
-            holder = holders.setdefault(key, customer.name)
-            if holder != customer.name:
-                found.append(
-                    f"customers {holder} and {customer.name} share a key"
+            owner = key_owners.setdefault(key, customer.name)
+            if owner != customer.name:
+                problems_found.append(
+                    f"customers {owner} and {customer.name} share a key"
                 )
-    return found
+    return problems_found
--- a/jasperweir/components/deployment/index.py
+++ b/jasperweir/components/deployment/index.py
@@ -1,4 +1,4 @@
-"""Look-ups in the configuration that is in force."""
+"""Lookups in the configuration in force."""
 
 from typing import NamedTuple
 
@@ -7,48 +7,55 @@
 from jasperweir.components.deployment import model
 
 
-class Match(NamedTuple):
-    """Route of a request and the customer that sent it."""
+class RouteMatch(NamedTuple):
+    """Route and customer of a request."""
 
     route: model.Route
     customer: model.Customer | None
 
     @property
     def priority(self) -> int:
-        """Rank of the request; the customer's goes before the route's."""
+        """Priority of the request; the customer's overrides the route's."""
         if self.customer is not None and self.customer.priority is not None:
             return self.customer.priority
         return self.route.priority
 
 
-class Index:
-    """Configuration prepared for look-ups by host, path and key.
+class DeploymentIndex:
+    """Index of a configuration by host, path and API key.
 
     Attributes:
-        deployment: The version it was made from.
+        deployment: The indexed configuration.
         services: Services by name.
     """
 
     def __init__(self, *, deployment: model.Deployment) -> None:
         self.deployment = deployment
         self.services = {s.name: s for s in deployment.services}
-        self._hosts: dict[str, dict[str, model.Route]] = {}
+        self._routes_by_host: dict[str, dict[str, model.Route]] = {}
         for route in deployment.routes:
-            self._hosts.setdefault(route.host, {})[route.prefix] = route
-        self._keys = {
+            self._routes_by_host.setdefault(route.host, {})[route.prefix] = (
+                route
+            )
+        self._customers_by_key = {
             key: customer
             for customer in deployment.customers
             for key in customer.keys
         }
 
     @property
-    def keyed(self) -> bool:
-        """Whether requests must carry a customer's key."""
+    def requires_key(self) -> bool:
+        """Whether requests need a customer's API key."""
         return bool(self.deployment.customers)
 
-    def passes(self) -> dict[str, passes.PassBounds]:
-        """Return the bounds of services whose engines make passes together."""
-        found: dict[str, passes.PassBounds] = {}
+    def get_pass_bounds(self) -> dict[str, passes.PassBounds]:
+        """Return the bounds of services whose engines run passes as a group.
+
+        Returns:
+            Bounds by service name. The pause is the shortest that a route of
+            the service allows.
+        """
+        bounds: dict[str, passes.PassBounds] = {}
         for route in self.deployment.routes:
             if route.gap_s <= 0:
                 continue
@@ -58,19 +65,19 @@
                     continue
                 if not service.engine.sets:
                     continue
-                before = found.get(service.name)
-                pause_s = min(route.gap_s, before.pause_s if before else 1e9)
-                found[service.name] = passes.PassBounds(
+                known = bounds.get(service.name)
+                pause_s = min(route.gap_s, known.pause_s if known else 1e9)
+                bounds[service.name] = passes.PassBounds(
                     pause_s=pause_s,
                     fixed_s=service.engine.fixed_pass_s
                     * balance_const.PASS_FIXED_FACTOR,
                     slots=service.engine.slots,
                 )
-        return found
+        return bounds
 
-    def route(self, host: str, path: str) -> model.Route | None:
-        """Return the route with the longest prefix that begins a path."""
-        prefixes = self._hosts.get(_host_name(host))
+    def find_route(self, host: str, path: str) -> model.Route | None:
+        """Return the route with the longest prefix of a path, or None."""
+        prefixes = self._routes_by_host.get(_strip_port(host))
         if prefixes is None:
             return None
         end = path.rfind("/")
@@ -81,11 +88,11 @@
             end = path.rfind("/", 0, end)
         return None
 
-    def customer(self, key: str) -> model.Customer | None:
-        """Return the customer that holds a key."""
-        return self._keys.get(key)
+    def find_customer(self, key: str) -> model.Customer | None:
+        """Return the customer that holds an API key, or None."""
+        return self._customers_by_key.get(key)
 
 
-def _host_name(host: str) -> str:
+def _strip_port(host: str) -> str:
     name, _, port = host.rpartition(":")
     return (name if name and port.isdigit() else host).lower()
--- a/jasperweir/components/deployment/model.py
+++ b/jasperweir/components/deployment/model.py
@@ -1,4 +1,4 @@
-"""Typed content of one configuration version."""
+"""Data model of a configuration version."""
 
 import enum
 import random
@@ -6,7 +6,7 @@
 
 
 class Kind(enum.Enum):
-    """What may be repeated when a request on a route fails."""
+    """Which requests of a route may be retried after a failure."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -14,29 +14,34 @@
 
 
 class Backend(NamedTuple):
-    """One service that a route sends a share of its requests to."""
+    """Share of a route's requests that goes to a service.
+
+    Attributes:
+        service: Name of the service.
+        weight: Share relative to the weights of the other backends.
+    """
 
     service: str
     weight: float
 
 
 class Route(NamedTuple):
-    """Where requests of one host and path prefix go, and on what terms.
+    """Routing rule for requests with a host and path prefix.
 
     Attributes:
-        name: Operator's name of the route.
-        host: Host header that selects it, lower case, without a port.
-        prefix: Path prefix, with a slash at both ends.
-        kind: What may be repeated.
-        timeout_s: Longest time a caller is kept waiting, seconds.
-        target_s: Time within which an answer earns its full credit, seconds.
-        gap_s: Longest pause between events of a stream that still counts as
-            on time, seconds; 0 for other kinds.
-        priority: Rank of its requests; 0 is served first.
+        name: Name of the route.
+        host: Host header, lower case, without a port.
+        prefix: Path prefix that begins and ends with a slash.
+        kind: Which requests may be retried.
+        timeout_s: Maximum time until the response, seconds.
+        target_s: Target time for the response, seconds.
+        gap_s: Longest pause between events of a stream that is still on time,
+            seconds; 0 for other kinds.
+        priority: Priority of the requests; 0 is served first.
         backends: Services and weights; the weights sum to more than 0.
-        max_attempts: Most targets that one request may be sent to.
-        public: Whether no customer key is asked for.
-        resumable: Whether a broken stream may go on at another target.
+        max_attempts: Maximum number of targets that receive one request.
+        public: Whether requests need no API key.
+        resumable: Whether a broken stream may continue at another target.
     """
 
     name: str
@@ -53,40 +58,41 @@
     resumable: bool
 
     @property
-    def idempotent(self) -> bool:
+    def is_idempotent(self) -> bool:
         """Whether a request may run more than once."""
         if self.kind is Kind.STREAM:
             return self.resumable
         return self.kind is Kind.SAFE
 
-    def draw_service(self, rng: random.Random) -> str:
-        """Return the service of one request, drawn by the weights."""
+    def choose_service(self, rng: random.Random) -> str:
+        """Return a service for one request, drawn at random by weight."""
         weights = [backend.weight for backend in self.backends]
         return rng.choices(self.backends, weights)[0].service
 
 
 class Engine(NamedTuple):
-    """Speed and sizes of a service's model engines.
+    """Speed and capacity of a service's model engines.
 
     Attributes:
-        slots: Requests that one engine runs at once.
-        kv_tokens: Tokens that fit in one engine's memory.
-        stride: Token steps in a pass with running requests.
-        step_ms: Fixed cost of a token step, milliseconds.
-        per_seq_ms: Cost that each running request adds to a step.
-        context_ms_per_k: Cost of 1,000 tokens of context in a step.
-        read_tokens_per_s: Prompt tokens read a second.
-        chunk: Most prompt tokens read in one step.
+        slots: Number of requests that an engine runs at once.
+        kv_tokens: Capacity of an engine's KV cache, tokens.
+        stride: Token steps per pass while requests run.
+        step_ms: Fixed time of a token step, milliseconds.
+        per_seq_ms: Additional time of a step per running request, milliseconds.
+        context_ms_per_k: Additional time of a step per 1,000 tokens of context,
+            milliseconds.
+        read_tokens_per_s: Prompt tokens processed per second.
+        chunk: Maximum number of prompt tokens processed in a step.
         usual_prompt: Mean number of prompt tokens.
         usual_answer: Mean number of generated tokens.
-        sets: Sets of layers that have their own expert placement; 0 without
+        sets: Number of layer sets with their own expert placement; 0 without
             experts.
-        experts: Experts in a set.
-        places: Experts that one rank may hold in a set.
-        spare: Experts that one change may add to a rank in a set.
-        form_s: Time a group takes to form again, seconds.
-        copy_s: Time in which a rank copies one expert, seconds; 0 if that is
-            not known.
+        experts: Number of experts in a set.
+        places: Maximum number of experts per rank in a set.
+        spare: Maximum number of experts that one change adds to a rank in a
+            set.
+        form_s: Time in which a group forms again, seconds.
+        copy_s: Time in which a rank copies one expert, seconds; 0 if unknown.
     """
 
     slots: int
@@ -108,12 +114,18 @@
 
     @property
     def fixed_pass_s(self) -> float:
-        """Time of a pass without running requests, seconds."""
+        """Duration of a pass without running requests, seconds."""
         return self.stride * self.step_ms / 1000.0
 
 
 class Service(NamedTuple):
-    """A kind of target."""
+    """A group of interchangeable targets.
+
+    Attributes:
+        name: Name of the service.
+        max_connections: Configured connection limit; not enforced.
+        engine: Engine parameters, None if they are not configured.
+    """
 
     name: str
     max_connections: int
@@ -121,7 +133,14 @@
 
 
 class Limits(NamedTuple):
-    """What a caller may send, and how long it may take."""
+    """Limits on requests of callers.
+
+    Attributes:
+        header_bytes: Maximum size of the header.
+        body_bytes: Maximum size of the body.
+        header_timeout_s: Maximum time to receive the header, seconds.
+        idle_timeout_s: Maximum time between requests of a connection, seconds.
+    """
 
     header_bytes: int = 16384
     body_bytes: int = 4 * 1024 * 1024
@@ -130,7 +149,13 @@
 
 
 class Customer(NamedTuple):
-    """Holder of keys; its priority goes before a route's."""
+    """A holder of API keys.
+
+    Attributes:
+        name: Name of the customer.
+        keys: API keys.
+        priority: Priority that overrides the route's, None for the route's.
+    """
 
     name: str
     keys: tuple[str, ...]
@@ -138,7 +163,15 @@
 
 
 class Deployment(NamedTuple):
-    """One version of the configuration."""
+    """One version of the configuration.
+
+    Attributes:
+        version: Version number, above 0.
+        routes: Routing rules.
+        services: Services that routes refer to.
+        limits: Limits on requests of callers.
+        customers: Customers; API keys are required unless this is empty.
+    """
 
     version: int
     routes: tuple[Route, ...]
--- a/jasperweir/components/forward/exchange.py
+++ b/jasperweir/components/forward/exchange.py
@@ -90,7 +90,7 @@
         self._forwarder.balancer.begin(target.target_id)
         self._holds_slot = True
         max_idle_s = math.inf
-        if not self.state.match.route.idempotent:
+        if not self.state.match.route.is_idempotent:
             max_idle_s = const.MAX_IDLE_SECONDS
         conn = self._forwarder.pool.take(_pool_key(target), max_idle_s)
         if conn is not None:
--- a/jasperweir/components/forward/forwarder.py
+++ b/jasperweir/components/forward/forwarder.py
@@ -75,7 +75,7 @@
         self.dialect = dialect
         self.balancer = balancer_lib.Balancer(rng=rng)
         self.pool = http_client.Pool(times=times)
-        self.index: index_lib.Index | None = None
+        self.index: index_lib.DeploymentIndex | None = None
         self.is_certain: Callable[[], bool] = lambda: True
         self.on_work: Callable[[], None] = lambda: None
         self._clock = clock
@@ -221,7 +221,7 @@
         self,
         answering: http_server.Answering,
         caller_headers: dialect_lib.CallerHeaders,
-        index: index_lib.Index,
+        index: index_lib.DeploymentIndex,
         arrived: float,
         startup_deadline: float = float("-inf"),
     ) -> None:
@@ -235,7 +235,7 @@
             )
             return
         now = self.now()
-        service = match.route.draw_service(self._rng)
+        service = match.route.choose_service(self._rng)
         used_s = self._patience.used(match.route, caller_headers.patience_s)
         state = request_state.RequestState(
             match=match,
--- a/jasperweir/components/forward/matching.py
+++ b/jasperweir/components/forward/matching.py
@@ -18,18 +18,18 @@
 
 
 def match_request(
-    index: index_lib.Index,
+    index: index_lib.DeploymentIndex,
     req: http_message.Request,
     caller_headers: dialect_lib.CallerHeaders,
-) -> index_lib.Match | Denial:
+) -> index_lib.RouteMatch | Denial:
     """Return the route and customer of a request, or why it is denied."""
     host = (req.header(b"host") or b"").decode("latin-1")
-    route = index.route(host, req.path)
+    route = index.find_route(host, req.path)
     if route is None:
         return Denial(Code.NO_ROUTE, host + req.path)
     customer = (
-        index.customer(caller_headers.key) if caller_headers.key else None
+        index.find_customer(caller_headers.key) if caller_headers.key else None
     )
-    if customer is None and index.keyed and not route.public:
+    if customer is None and index.requires_key and not route.public:
         return Denial(Code.KEY_UNKNOWN, route.name)
-    return index_lib.Match(route=route, customer=customer)
+    return index_lib.RouteMatch(route=route, customer=customer)
--- a/jasperweir/components/forward/request_state.py
+++ b/jasperweir/components/forward/request_state.py
@@ -75,7 +75,7 @@
     def __init__(
         self,
         *,
-        match: index.Match,
+        match: index.RouteMatch,
         caller_headers: dialect_lib.CallerHeaders,
         now: float,
         used_s: float = 0.0,
@@ -208,7 +208,7 @@
                 self.undelivered += 1
             case Fault.UNKNOWN:
                 self.may_have_run = True
-                if not self.match.route.idempotent:
+                if not self.match.route.is_idempotent:
                     return self.fail(Code.BROKEN_OFF)
         if self.undelivered >= const.MAX_UNDELIVERED:
             return self.fail(Code.NO_TARGET)
@@ -257,7 +257,7 @@
             if not head.signed or head.encoded:
                 return Fault.UNKNOWN
             return None
-        if status >= 500 and self.match.route.idempotent:
+        if status >= 500 and self.match.route.is_idempotent:
             if self.attempts < self.match.route.max_attempts:
                 return Fault.UNKNOWN
         if status in _NOT_RUN_STATUSES:
--- a/jasperweir/daemons/site_entry.py
+++ b/jasperweir/daemons/site_entry.py
@@ -237,9 +237,9 @@
 
     def _put_in_force(self, act: follower_lib.NewContent) -> None:
         deployment = self._dialect.deployment(zlib.decompress(act.data))
-        index = index_lib.Index(deployment=deployment)
+        index = index_lib.DeploymentIndex(deployment=deployment)
         self._forwarder.index = index
-        self._forwarder.pass_monitor.limits.on_bounds(index.passes())
+        self._forwarder.pass_monitor.limits.on_bounds(index.get_pass_bounds())
         limits = deployment.limits
         if self._server is not None:
             self._server.limits = http_server.ServerLimits(*limits)
