--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -108,8 +108,8 @@
 def step_waits(context):
     resumed = make_request_state("resumable", "5")
     first = make_request_state("resumable")
-    assert round(resumed.waits_until - 100.0, 3) == 1.8
-    assert round(first.waits_until - 100.0, 3) == 0.6
+    assert round(resumed.wait_deadline - 100.0, 3) == 1.8
+    assert round(first.wait_deadline - 100.0, 3) == 0.6
 
 
 @when('the stream "{text}" is split')
@@ -390,7 +390,7 @@
 
 @then("it waits {seconds:g} s for a slot")
 def step_waits_for(context, seconds):
-    got = context.state.waits_until - context.state.arrived
+    got = context.state.wait_deadline - context.state.arrived_at
     assert round(got, 3) == seconds, got
 
 
@@ -398,10 +398,11 @@
 def step_two_wait(context):
     waiting = gate.Gate()
     for number, used_s in enumerate((0.0, 2.0)):
-        asked_at = (
-            make_request_state("safe", used_s=used_s).asked_at + 0.05 * number
+        first_attempt_at = (
+            make_request_state("safe", used_s=used_s).first_attempt_at
+            + 0.05 * number
         )
-        waiting.wait(gate.Waiting(1, asked_at, number, 109.0, 100.0))
+        waiting.wait(gate.Waiting(1, first_attempt_at, number, 109.0, 100.0))
     context.admitted = waiting.admit(1, 101.0)
 
 
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -198,7 +198,7 @@
 @then("it waits for {seconds:g} s")
 def step_waits(context, seconds):
     assert context.waits
-    got = context.life.waits_until - context.life.arrived
+    got = context.life.wait_deadline - context.life.arrived_at
     assert abs(got - seconds) < 1e-9, got
 
 
--- a/jasperweir/components/forward/admission.py
+++ b/jasperweir/components/forward/admission.py
@@ -100,7 +100,7 @@
         now = self._clock.monotonic()
         not_before = now + const.PAUSE_SECONDS
         state = exchange.state
-        if not state.is_last_try or state.waits_until <= not_before:
+        if not state.is_last_attempt or state.wait_deadline <= not_before:
             return False
         if self.stopping:
             return False
@@ -128,7 +128,7 @@
         if (
             self.stopping
             or not in_time
-            or now + available_in_s >= state.waits_until
+            or now + available_in_s >= state.wait_deadline
         ):
             exchange.fail(Code.BACKPRESSURE)
             return
@@ -145,8 +145,10 @@
         """
         now = self._clock.monotonic()
         state = exchange.state
-        patience_s = state.remaining_s(state.arrived)
-        until = self._startup_grace.compute_deadline(state.arrived, patience_s)
+        patience_s = state.remaining_s(state.arrived_at)
+        until = self._startup_grace.compute_deadline(
+            state.arrived_at, patience_s
+        )
         if self.stopping or until <= now:
             return False
         state.startup_deadline = until
--- a/jasperweir/components/forward/crash_detector.py
+++ b/jasperweir/components/forward/crash_detector.py
@@ -70,10 +70,10 @@
         self, exchange: "exchange_lib.Exchange", now: float
     ) -> ledger_lib.Verdict:
         """Return the crashes under a request and its quarantine time."""
-        found = self._find_fingerprint(exchange)
-        if found is None:
+        request_fingerprint = self._find_fingerprint(exchange)
+        if request_fingerprint is None:
             return ledger_lib.Verdict(0, 0.0)
-        return self.ledger.verdict(found, now)
+        return self.ledger.verdict(request_fingerprint, now)
 
     def reject_if_quarantined(
         self, exchange: "exchange_lib.Exchange", now: float
@@ -104,12 +104,12 @@
         if current is None or current.presence is not records.Presence.READY:
             # A target that is shutting down closes connections by itself.
             return
-        found = fingerprint.of(_subject(exchange))
+        request_fingerprint = fingerprint.of(_build_subject(exchange))
         now = self._clock.monotonic()
         attempt = suspects_lib.Try(
             exchange.state.caller_headers.request_id, sent_at, now
         )
-        if not self._suspects.on_broken(target, found, attempt):
+        if not self._suspects.on_broken(target, request_fingerprint, attempt):
             return
         task = asyncio.get_running_loop().create_task(
             self._check_target(target)
@@ -121,20 +121,24 @@
         """Record that a target responded to a request sent at a given time."""
         if len(self.ledger):
             now = self._clock.monotonic()
-            marks = self.ledger.lives(_incarnation(target), sent_at, now)
+            marks = self.ledger.lives(_build_incarnation(target), sent_at, now)
             self._publish(marks)
 
     def on_completed(self, exchange: "exchange_lib.Exchange") -> None:
         """Record that a request got a complete, successful response."""
-        found = self._find_fingerprint(exchange)
-        if found is not None:
-            self._publish(self.ledger.absolve(found, self._clock.monotonic()))
+        request_fingerprint = self._find_fingerprint(exchange)
+        if request_fingerprint is not None:
+            self._publish(
+                self.ledger.absolve(
+                    request_fingerprint, self._clock.monotonic()
+                )
+            )
 
     def _find_fingerprint(
         self, exchange: "exchange_lib.Exchange"
     ) -> fingerprint.Fingerprint | None:
         """Return a request's fingerprint if the ledger may contain it."""
-        return self.ledger.find(_subject(exchange))
+        return self.ledger.find(_build_subject(exchange))
 
     async def _check_target(self, target: records.Target) -> None:
         await asyncio.sleep(const.CHECK_SECONDS)
@@ -160,13 +164,15 @@
 
     def _add_marks(self, case: suspects_lib.Case) -> None:
         now = self._clock.monotonic()
-        incarnation = _incarnation(case.target)
-        for found, attempt in case.suspects.items():
+        incarnation = _build_incarnation(case.target)
+        for request_fingerprint, attempt in case.suspects.items():
             run = ledger_lib.Run(
                 ended_s=now - attempt.broke_at,
                 took_s=attempt.broke_at - attempt.began_at,
             )
-            self._publish(self.ledger.add(found, incarnation, now, run))
+            self._publish(
+                self.ledger.add(request_fingerprint, incarnation, now, run)
+            )
 
     def _publish(self, marks: Marks) -> None:
         if marks:
@@ -183,9 +189,9 @@
         return ProbeResult.ACCEPTED
 
 
-def _subject(exchange: "exchange_lib.Exchange") -> fingerprint.Subject:
+def _build_subject(exchange: "exchange_lib.Exchange") -> fingerprint.Subject:
     return fingerprint.subject(exchange.request, exchange.state.customer_name)
 
 
-def _incarnation(target: records.Target) -> ledger_lib.Incarnation:
+def _build_incarnation(target: records.Target) -> ledger_lib.Incarnation:
     return ledger_lib.Incarnation(target.target_id, target.born)
--- a/jasperweir/components/forward/queues.py
+++ b/jasperweir/components/forward/queues.py
@@ -87,9 +87,9 @@
         queue.gate.wait(
             gate_lib.Waiting(
                 priority=state.match.priority,
-                since=state.asked_at,
+                since=state.first_attempt_at,
                 number=exchange.number,
-                until=state.waits_until,
+                until=state.wait_deadline,
                 not_before=not_before,
                 timely_until=self._timely_until(exchange),
             )
@@ -109,7 +109,7 @@
             # The caller cannot retry a partial response again, so the rest is
             # worth sending however late it is.
             return math.inf
-        target_end = state.asked_at + state.match.route.target_s
+        target_end = state.first_attempt_at + state.match.route.target_s
         return target_end - self.get(exchange.service).forecast.first_s
 
     def count_admissible(
--- a/jasperweir/components/forward/recorder.py
+++ b/jasperweir/components/forward/recorder.py
@@ -58,22 +58,22 @@
             free=free_slots,
             targets=candidate_count,
             rest_left_ms=round(backoff_left_s * 1000),
-            waited_ms=round((now - state.arrived) * 1000),
+            waited_ms=round((now - state.arrived_at) * 1000),
             sends=state.attempts,
         )
 
     def record_wait(self, exchange: exchange_lib.Exchange, now: float) -> None:
         """Record that a request waits for a slot or for a target."""
         state = exchange.state
-        self._metrics.inc("waits", last_try=str(state.is_last_try).lower())
+        self._metrics.inc("waits", last_try=str(state.is_last_attempt).lower())
         _log.info(
             "request waits",
             id=state.caller_headers.request_id,
             service=exchange.service,
             sends=state.attempts,
-            used_ms=round((state.arrived - state.asked_at) * 1000),
+            used_ms=round((state.arrived_at - state.first_attempt_at) * 1000),
             foreseen_ms=round(state.expected_wait_s * 1000),
-            until_ms=round((state.waits_until - now) * 1000),
+            until_ms=round((state.wait_deadline - now) * 1000),
         )
 
     def record_buffered(
@@ -147,10 +147,10 @@
         self._metrics.inc(
             "requests", route=state.match.route.name, outcome=outcome
         )
-        self._metrics.observe("request_seconds", now - state.arrived)
+        self._metrics.observe("request_seconds", now - state.arrived_at)
         if first_byte_at:
             self._metrics.observe(
-                "first_byte_seconds", first_byte_at - state.arrived
+                "first_byte_seconds", first_byte_at - state.arrived_at
             )
         _log.info(
             "request ended",
@@ -162,12 +162,12 @@
             sends=state.attempts,
             outcome=outcome,
             version=version,
-            first_ms=round((first_byte_at - state.arrived) * 1000)
+            first_ms=round((first_byte_at - state.arrived_at) * 1000)
             if first_byte_at
             else -1,
             gap_ms=round(exchange.longest_gap_s * 1000),
-            total_ms=round((now - state.arrived) * 1000),
-            used_ms=round((state.arrived - state.asked_at) * 1000),
+            total_ms=round((now - state.arrived_at) * 1000),
+            used_ms=round((state.arrived_at - state.first_attempt_at) * 1000),
             target_ms=round(state.match.route.target_s * 1000),
             gap_target_ms=round(state.match.route.gap_s * 1000),
         )
--- a/jasperweir/components/forward/request_state.py
+++ b/jasperweir/components/forward/request_state.py
@@ -53,9 +53,9 @@
     Attributes:
         match: Route and customer.
         caller_headers: Metadata from the caller's headers.
-        arrived: When the request arrived, monotonic seconds.
-        asked_at: When the caller made its first attempt, as estimated from the
-            deadline it states, monotonic seconds.
+        arrived_at: When the request arrived, monotonic seconds.
+        first_attempt_at: When the caller made its first attempt, estimated
+            from the deadline it states, monotonic seconds.
         caller_deadline: When the caller stops waiting, monotonic seconds.
         deadline: When the response must be final, monotonic seconds.
         attempts: Number of targets that have received the request.
@@ -90,8 +90,8 @@
         """
         self.match = match
         self.caller_headers = caller_headers
-        self.arrived = now
-        self.asked_at = now - used_s
+        self.arrived_at = now
+        self.first_attempt_at = now - used_s
         patience_s = caller_headers.patience_s
         if patience_s is None:
             patience_s = const.DEFAULT_DEADLINE_SECONDS
@@ -127,9 +127,9 @@
         )
 
     @property
-    def is_last_try(self) -> bool:
+    def is_last_attempt(self) -> bool:
         """Whether the caller is unlikely to try again after a rejection."""
-        return self.is_resumed or self.asked_at < self.arrived
+        return self.is_resumed or self.first_attempt_at < self.arrived_at
 
     @property
     def can_move(self) -> bool:
@@ -144,7 +144,7 @@
         """Longest wait for a slot on a caller's first attempt, seconds."""
         return min(
             balance_const.WAIT_SHARE * self.match.route.target_s,
-            balance_const.WAIT_MOST_SHARE * self.remaining_s(self.arrived),
+            balance_const.WAIT_MOST_SHARE * self.remaining_s(self.arrived_at),
         )
 
     def expect_wait(self, seconds: float) -> bool:
@@ -157,17 +157,17 @@
             Whether the request should wait that long.
         """
         self.expected_wait_s = seconds
-        return self.is_last_try or seconds <= self.max_wait_s
+        return self.is_last_attempt or seconds <= self.max_wait_s
 
     @property
-    def waits_until(self) -> float:
+    def wait_deadline(self) -> float:
         """When the request is rejected without a slot, monotonic seconds."""
         target_s = self.match.route.target_s
         min_wait_s = balance_const.WAIT_LEAST_SECONDS
         if self.is_resumed:
             wait_s = balance_const.RESUMED_WAIT_SECONDS
-        elif self.is_last_try:
-            remaining_s = self.remaining_s(self.arrived)
+        elif self.is_last_attempt:
+            remaining_s = self.remaining_s(self.arrived_at)
             wait_s = min(
                 balance_const.RETURNED_WAIT_SHARE * target_s,
                 balance_const.RETURNED_WAIT_MOST_SHARE * remaining_s,
@@ -175,7 +175,7 @@
         else:
             usual_s = balance_const.FORECAST_FACTOR * self.expected_wait_s
             wait_s = min(self.max_wait_s, max(usual_s, min_wait_s))
-        return max(self.arrived + wait_s, self.startup_deadline)
+        return max(self.arrived_at + wait_s, self.startup_deadline)
 
     def remaining_s(self, now: float) -> float:
         """Return the time left for the response, seconds."""
