--- a/features/steps/large_steps.py
+++ b/features/steps/large_steps.py
@@ -380,7 +380,7 @@
         now += rng.choice((0.0, 1.0, 10.0))
         # The sequence number is not part of the list.
         cached = [t.target_id for t in directory.serving("s", now)]
-        computed = directory._serving_now("s", now).targets
+        computed = directory._find_ready("s", now).targets
         fresh = [t.target_id for t in computed]
         if cached != fresh:
             context.mismatches.append((sequence, cached, fresh))
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -76,7 +76,7 @@
 
 @given("routes to a group that allow pauses of {one:g} s and of {two:g} s")
 def step_routes(context, one, two):
-    route = forward_steps.route_of("stream")
+    route = forward_steps.make_route("stream")
     backends = (model.Backend("s", 1.0),)
     engine = model.Engine(
         slots=SLOTS,
@@ -102,7 +102,9 @@
         limits=model.Limits(16384, 65536, 3.0, 15.0),
         customers=(),
     )
-    context.bounds = index.Index(deployment=deployment).passes()
+    context.bounds = index.DeploymentIndex(
+        deployment=deployment
+    ).get_pass_bounds()
 
 
 @then("its passes are to stay below {pause:g} s")
@@ -183,7 +185,7 @@
 
 @given("a first try of a route that is to answer in {target:g} s and has 8 s")
 def step_first_try(context, target):
-    context.life = forward_steps.life_of("resumable", patience_s=8.0)
+    context.life = forward_steps.make_request_state("resumable", patience_s=8.0)
     route = context.life.match.route._replace(target_s=target)
     context.life.match = context.life.match._replace(route=route)
 
@@ -196,7 +198,7 @@
 @then("it waits for {seconds:g} s")
 def step_waits(context, seconds):
     assert context.waits
-    got = context.life.waits_until - context.life.arrived
+    got = context.life.wait_deadline - context.life.arrived_at
     assert abs(got - seconds) < 1e-9, got
 
 
--- /dev/null
+++ b/jasperweir/components/forward/capacity.py
@@ -0,0 +1,119 @@
+"""Free slots at targets, nearby ones first."""
+
+import math
+import random
+from typing import NamedTuple
+
+from jasperweir.components.balance import balancer as balancer_lib
+from jasperweir.components.balance import late as late_lib
+from jasperweir.components.balance import neighbours as neighbours_lib
+from jasperweir.components.balance import passes as passes_lib
+from jasperweir.components.directory import records
+
+
+class Candidates(NamedTuple):
+    """Targets that a request may be sent to now.
+
+    Attributes:
+        targets: The targets.
+        free_slots: Free slots at these targets; negative if overloaded.
+        late_slots: Number of the free slots that late requests may use; the
+            others stay free for timely ones.
+        entry_count: Number of entries that share these slots, this one
+            included.
+    """
+
+    targets: list[records.Target]
+    free_slots: int
+    late_slots: int
+    entry_count: int
+
+
+class CapacityFinder:
+    """Finds free slots at nearby targets first, then at all targets.
+
+    Attributes:
+        entry_count: Number of all entries, this one included.
+    """
+
+    def __init__(
+        self,
+        *,
+        balancer: balancer_lib.Balancer,
+        neighbours: neighbours_lib.Neighbours,
+        rng: random.Random,
+    ) -> None:
+        self.entry_count = 1
+        self._balancer = balancer
+        self._neighbours = neighbours
+        self._rng = rng
+
+    def find_candidates(
+        self,
+        targets: list[records.Target],
+        limit: passes_lib.PassLimit | None,
+        now: float,
+    ) -> Candidates:
+        """Return nearby targets while they have free slots, else all targets.
+
+        Args:
+            targets: All targets of a service.
+            limit: Limit on the streams of the service's group, if there is one.
+            now: Monotonic seconds.
+        """
+        nearby = self._neighbours.home(targets, self._rng.random())
+        if len(nearby) == len(targets):
+            return self._count_capacity(nearby, limit, self.entry_count, now)
+        candidates = self._count_capacity(
+            nearby, limit, 1 + len(self._neighbours.peers), now
+        )
+        if candidates.free_slots >= 1:
+            return candidates
+        return self._count_capacity(targets, limit, self.entry_count, now)
+
+    def update_limit(
+        self,
+        targets: list[records.Target],
+        limit: passes_lib.PassLimit,
+        now: float,
+    ) -> float:
+        """Update a limit with the number of streams at nearby targets.
+
+        Returns:
+            Mean number of open requests of these targets.
+        """
+        nearby = self._neighbours.home(targets, self._rng.random())
+        streams = self.count_open(nearby, now) / max(len(nearby), 1)
+        limit.update(streams, now)
+        return streams
+
+    def _count_capacity(
+        self,
+        targets: list[records.Target],
+        limit: passes_lib.PassLimit | None,
+        entry_count: int,
+        now: float,
+    ) -> Candidates:
+        """Return some targets with their free slots, given who shares them."""
+        loads = self._balancer.loads(targets, now)
+        free_slots = loads.free
+        if limit is not None and free_slots >= 1:
+            max_streams = limit.streams(now) * len(targets)
+            if math.isfinite(max_streams):
+                free_slots = min(free_slots, int(max_streams) - loads.open)
+        max_open = late_lib.most_open(
+            slots=sum(target.slots for target in targets),
+            targets=len(targets),
+            limit=limit,
+            now=now,
+        )
+        return Candidates(
+            targets,
+            free_slots,
+            min(free_slots, max_open - loads.open),
+            entry_count,
+        )
+
+    def count_open(self, targets: list[records.Target], now: float) -> int:
+        """Return the open requests of all entries at some targets."""
+        return self._balancer.loads(targets, now).open
--- a/jasperweir/components/forward/events.py
+++ b/jasperweir/components/forward/events.py
@@ -1,43 +1,44 @@
-"""Split a stream of server-sent events into whole events."""
+"""Splitting of a server-sent event stream into complete events."""
 
 from jasperweir.components.forward import const
 
-_ENDS = (b"\n\n", b"\r\n\r\n")
+_TERMINATORS = (b"\n\n", b"\r\n\r\n")
 
 
 class EventSplitter:
-    """Hold back the part of a stream that is not a whole event yet.
+    """Buffers the part of a stream after its last complete event.
 
     Attributes:
-        last_id: Id of the last whole event, or the one it began with.
+        last_id: Id of the last complete event, initially the id after which the
+            stream resumes.
     """
 
     def __init__(self, *, last_id: str) -> None:
         self.last_id = last_id
-        self._held = b""
+        self._buffer = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that are complete now."""
-        self._held += data
-        end = max(self._held.rfind(mark) + len(mark) for mark in _ENDS)
-        if not any(mark in self._held for mark in _ENDS):
-            if len(self._held) <= const.EVENT_MAX_BYTES:
+        """Add received bytes and return the events completed by them."""
+        self._buffer += data
+        end = max(self._buffer.rfind(mark) + len(mark) for mark in _TERMINATORS)
+        if not any(mark in self._buffer for mark in _TERMINATORS):
+            if len(self._buffer) <= const.MAX_EVENT_BYTES:
                 return b""
-            end = len(self._held)
-        whole, self._held = self._held[:end], self._held[end:]
-        self._note_id(whole)
-        return whole
-
-    def rest(self) -> bytes:
-        """Return what is left when the stream has ended in order."""
-        rest, self._held = self._held, b""
+            end = len(self._buffer)
+        complete, self._buffer = self._buffer[:end], self._buffer[end:]
+        self._update_last_id(complete)
+        return complete
+
+    def flush(self) -> bytes:
+        """Return the remaining bytes after a regular end of the stream."""
+        rest, self._buffer = self._buffer, b""
         return rest
 
-    def _note_id(self, whole: bytes) -> None:
-        at = whole.rfind(b"id:")
-        while at > 0 and whole[at - 1 : at] != b"\n":
-            at = whole.rfind(b"id:", 0, at)
-        if at < 0:
+    def _update_last_id(self, events: bytes) -> None:
+        start = events.rfind(b"id:")
+        while start > 0 and events[start - 1 : start] != b"\n":
+            start = events.rfind(b"id:", 0, start)
+        if start < 0:
             return
-        line = whole[at + 3 :].split(b"\n", 1)[0]
+        line = events[start + 3 :].split(b"\n", 1)[0]
         self.last_id = line.strip().decode("latin-1")
--- a/jasperweir/components/forward/exchange.py
+++ b/jasperweir/components/forward/exchange.py
@@ -1,4 +1,4 @@
-"""One request on its way: drives sockets as the verdicts say."""
+"""One proxied request: its connections, attempts and response."""
 
 import asyncio
 import math
@@ -9,7 +9,7 @@
 from jasperweir.components.forward import const
 from jasperweir.components.forward import dialect as dialect_lib
 from jasperweir.components.forward import events as events_lib
-from jasperweir.components.forward import life as life_lib
+from jasperweir.components.forward import request_state
 from jasperweir.helpers import http_client
 from jasperweir.helpers import http_message
 from jasperweir.helpers import http_server
@@ -18,58 +18,59 @@
     from jasperweir.components.forward import forwarder as forwarder_lib
 
 Code = result_codes.Code
-Fault = life_lib.Fault
+Fault = request_state.Fault
 
 
-# Refusals by targets that may end within a second or two.
-_WAITABLE = (Code.TARGETS_REFUSED, Code.NO_TARGET)
+# Results that may change within seconds, so that waiting is worthwhile.
+_WAITABLE_CODES = (Code.TARGETS_REFUSED, Code.NO_TARGET)
 
 
 class Exchange:
-    """A caller's request, its sends to targets, and its answer.
+    """A caller's request, its attempts at targets and its response.
 
     Attributes:
-        number: Own number of the request.
-        answering: Way back to the caller.
-        service: Service that it goes to.
-        life: Facts and rules of the request.
-        done: Whether the caller has its final answer or has gone.
-        first_byte_at: When the first byte of an answer arrived.
-        longest_gap: Longest pause between two events, seconds.
+        number: Number of the request, unique in this process.
+        answering: Response channel to the caller.
+        service: Service that the request is routed to.
+        state: State of the request and its retry rules.
+        done: Whether the caller has its final response or has disconnected.
+        first_byte_at: When the first byte of a response arrived, monotonic
+            seconds; 0 before.
+        longest_gap_s: Longest pause between two events, seconds.
     """
 
     def __init__(
         self,
         *,
         number: int,
-        owner: "forwarder_lib.Forwarder",
+        forwarder: "forwarder_lib.Forwarder",
         answering: http_server.Answering,
-        life: life_lib.Life,
+        state: request_state.RequestState,
         service: str,
     ) -> None:
         self.number = number
         self.service = service
-        self.life = life
+        self.state = state
         self.done = False
-        self._owner = owner
+        self._forwarder = forwarder
         self.answering = answering
         self._target: records.Target | None = None
         self._conn: http_client.ClientConnection | None = None
-        self._holds_place = False
-        self._opening: asyncio.Task[None] | None = None
+        self._holds_slot = False
+        self._connect_task: asyncio.Task[None] | None = None
         self._head: http_message.Head | None = None
         self._length: int | None = None
-        self._held: list[bytes] = []
-        self._held_bytes = 0
-        self._splitter = events_lib.EventSplitter(last_id=life.last_event)
+        self._buffered: list[bytes] = []
+        self._buffered_bytes = 0
+        self._splitter = events_lib.EventSplitter(last_id=state.last_event_id)
         self._sent_at = 0.0
-        self._event_at = 0.0
+        self._last_event_at = 0.0
         self.first_byte_at = 0.0
-        self.longest_gap = 0.0
+        self.longest_gap_s = 0.0
         loop = asyncio.get_running_loop()
-        left_s = life.remaining(owner.now())
-        self._timer = loop.call_later(left_s, self._on_time_up)
-        answering.on_gone = self._on_gone
+        left_s = state.remaining_s(forwarder.now())
+        self._timer = loop.call_later(left_s, self._on_timeout)
+        answering.on_gone = self._on_caller_disconnected
 
     @property
     def request(self) -> http_message.Request:
@@ -78,288 +79,308 @@
 
     @property
     def target_id(self) -> str:
-        """Incarnation that has the request, or had it last."""
+        """Id of the target that has the request or had it last."""
         return self._target.target_id if self._target else ""
 
-    # Sending.
+    # Sending to a target.
 
     def send_to(self, target: records.Target) -> None:
-        """Send the request to a target, over an idle connection or a new."""
+        """Send the request to a target, over an idle or a new connection."""
         self._target = target
-        self._owner.balancer.begin(target.target_id)
-        self._holds_place = True
-        longest_rest = math.inf
-        if not self.life.match.route.idempotent:
-            longest_rest = const.REST_SECONDS
-        conn = self._owner.pool.take(_pool_key(target), longest_rest)
+        self._forwarder.balancer.begin(target.target_id)
+        self._holds_slot = True
+        max_idle_s = math.inf
+        if not self.state.match.route.is_idempotent:
+            max_idle_s = const.MAX_IDLE_SECONDS
+        conn = self._forwarder.pool.take(_pool_key(target), max_idle_s)
         if conn is not None:
-            self._write(conn)
+            self._send_request(conn)
             return
-        self._opening = asyncio.get_running_loop().create_task(
-            self._open(target)
+        self._connect_task = asyncio.get_running_loop().create_task(
+            self._connect(target)
         )
 
-    async def _open(self, target: records.Target) -> None:
+    async def _connect(self, target: records.Target) -> None:
         try:
-            conn = await self._owner.pool.open(target.address)
+            conn = await self._forwarder.pool.open(target.address)
         except OSError as exc:
-            self._opening = None
+            self._connect_task = None
             if not self.done:
-                self._on_unsent(str(exc))
+                self._on_connect_failed(str(exc))
             return
-        self._opening = None
+        self._connect_task = None
         if self.done:
-            self._owner.pool.give(_pool_key(target), conn)
+            self._forwarder.pool.give(_pool_key(target), conn)
             return
-        self._write(conn)
+        self._send_request(conn)
 
-    def _write(self, conn: http_client.ClientConnection) -> None:
+    def _send_request(self, conn: http_client.ClientConnection) -> None:
         assert self._target is not None
-        now = self._owner.now()
-        life = self.life
-        if self._owner.targets.asked.bars(self._target, now):
-            # It has asked for rest while the connection was opened.
-            self._owner.pool.give(_pool_key(self._target), conn)
-            self._release()
-            self._act(life.on_barred(self._target.target_id))
+        now = self._forwarder.now()
+        state = self.state
+        if self._forwarder.targets.backpressure.bars(self._target, now):
+            # The target sent backpressure while the connection was opened.
+            self._forwarder.pool.give(_pool_key(self._target), conn)
+            self._release_slot()
+            self._apply(state.on_target_unavailable(self._target.target_id))
             return
-        patience = life.remaining(now) - const.ANSWER_MARGIN_SECONDS
-        if patience < const.RETRY_LEAST_SECONDS:
-            self._owner.pool.give(_pool_key(self._target), conn)
-            self._release()
-            self._act(life.on_time_up(at_target=False))
+        patience_s = state.remaining_s(now) - const.RESPONSE_MARGIN_SECONDS
+        if patience_s < const.MIN_ATTEMPT_SECONDS:
+            self._forwarder.pool.give(_pool_key(self._target), conn)
+            self._release_slot()
+            self._apply(state.on_timeout(at_target=False))
             return
-        sent = dialect_lib.Dispatch(
+        dispatch = dialect_lib.TargetRequest(
             target_id=self._target.target_id,
-            patience_s=patience,
-            priority=min(life.match.priority, 9),
-            customer=life.customer_name,
-            resume_after=life.last_event,
+            patience_s=patience_s,
+            priority=min(state.match.priority, 9),
+            customer=state.customer_name,
+            resume_after=state.last_event_id,
         )
         req = self.request
-        headers = self._owner.dialect.dispatch(req, sent)
+        headers = self._forwarder.dialect.build_target_headers(req, dispatch)
         if req.body or req.method not in (b"GET", b"HEAD"):
             headers.append((b"content-length", b"%d" % len(req.body)))
         line = req.method + b" " + req.target + b" HTTP/1.1"
-        life.sent(self._target.target_id)
+        state.on_sent(self._target.target_id)
         self._conn = conn
         self._sent_at = now
         conn.send(http_message.write_head(line, headers) + req.body, self)
 
-    # What a target answers.
+    # Handling of the response.
 
     def on_head(self, head: http_message.Head, length: int | None) -> bool:
-        """Judge the head of an answer; False if it is to another request."""
-        found = self._owner.dialect.target_head(head)
-        if found.request_id and found.request_id != self.life.ask.request_id:
+        """Handle the head of a target's response.
+
+        Returns:
+            False if the response belongs to another request.
+        """
+        target_head = self._forwarder.dialect.parse_response_head(head)
+        if (
+            target_head.request_id
+            and target_head.request_id != self.state.caller_headers.request_id
+        ):
             return False
-        now = self._owner.now()
-        if found.load is not None:
-            self._owner.balancer.on_report(self.target_id, found.load, now)
-        if self._target is not None and not found.other_target:
-            self._owner.notes.signals(
-                self._target, found.signals, self._sent_at
+        now = self._forwarder.now()
+        if target_head.load is not None:
+            self._forwarder.balancer.on_report(
+                self.target_id, target_head.load, now
             )
-        fault = self.life.judge_head(head.status, found)
+        if self._target is not None and not target_head.other_target:
+            self._forwarder.outcomes.on_signals(
+                self._target, target_head.signals, self._sent_at
+            )
+        fault = self.state.classify_response(head.status, target_head)
         if fault is not None:
             hard = fault is Fault.REPLACED
             self._on_fault(fault, f"status {head.status}", hard=hard)
             return True
         if self._target is not None:
-            self._owner.notes.taken(self, self._target)
-            self._owner.ends.on_answer(self._target, self._sent_at)
+            self._forwarder.outcomes.on_accepted(self, self._target)
+            self._forwarder.crash_detector.on_response(
+                self._target, self._sent_at
+            )
         if head.status < 500:
-            self._owner.balancer.succeeded(self.target_id, now - self._sent_at)
+            self._forwarder.balancer.succeeded(
+                self.target_id, now - self._sent_at
+            )
         else:
-            self._owner.balancer.failed(self.target_id, now, hard=False)
-        if self.life.started:
-            # A resumed stream keeps the head of its first target.
+            self._forwarder.balancer.failed(self.target_id, now, hard=False)
+        if self.state.response_started:
+            # A resumed stream keeps the first target's response head.
             return True
         self._head = head
         self._length = length
         return True
 
     def on_data(self, data: bytes) -> None:
-        """Pass on whole events, or hold a body until it is whole."""
+        """Pass on complete events, or buffer a body until it is complete."""
         if self.done or self._conn is None:
             return
         if not self.first_byte_at:
-            self.first_byte_at = self._owner.now()
-        if self._passes_events:
-            whole = self._splitter.feed(data)
-            if whole:
-                self._note_gap()
-                self.life.last_event = self._splitter.last_id
-                self._begin_answer(None)
-                self.answering.send(whole)
+            self.first_byte_at = self._forwarder.now()
+        if self._is_event_stream:
+            events = self._splitter.feed(data)
+            if events:
+                self._record_gap()
+                self.state.last_event_id = self._splitter.last_id
+                self._start_response(None)
+                self.answering.send(events)
             return
-        if self.life.started:
+        if self.state.response_started:
             self.answering.send(data)
             return
-        self._held.append(data)
-        self._held_bytes += len(data)
-        if self._held_bytes > const.HOLD_BYTES:
-            self._begin_answer(self._length)
-            self.answering.send(b"".join(self._held))
-            self._held = []
-
-    def _note_gap(self) -> None:
-        now = self._owner.now()
-        if self._event_at:
-            gap_s = now - self._event_at
-            self.longest_gap = max(self.longest_gap, gap_s)
-            self._owner.note_pause(self.service, gap_s)
-        self._event_at = now
+        self._buffered.append(data)
+        self._buffered_bytes += len(data)
+        if self._buffered_bytes > const.MAX_BUFFERED_BYTES:
+            self._start_response(self._length)
+            self.answering.send(b"".join(self._buffered))
+            self._buffered = []
+
+    def _record_gap(self) -> None:
+        now = self._forwarder.now()
+        if self._last_event_at:
+            gap_s = now - self._last_event_at
+            self.longest_gap_s = max(self.longest_gap_s, gap_s)
+            self._forwarder.record_pause(self.service, gap_s)
+        self._last_event_at = now
 
     def on_end(self) -> None:
-        """Complete the caller's answer."""
+        """Complete the caller's response."""
         conn = self._conn
         if self.done or conn is None or self._target is None:
             return
-        self._owner.pool.give(_pool_key(self._target), conn)
-        self._owner.notes.whole(self, self._sent_at)
+        self._forwarder.pool.give(_pool_key(self._target), conn)
+        self._forwarder.outcomes.on_completed(self, self._sent_at)
         if self._head is not None and self._head.status < 300:
-            self._owner.ends.on_whole(self)
+            self._forwarder.crash_detector.on_completed(self)
         self._conn = None
-        self._release()
-        if self._passes_events:
-            self._begin_answer(None)
-            self.answering.send(self._splitter.rest())
+        self._release_slot()
+        if self._is_event_stream:
+            self._start_response(None)
+            self.answering.send(self._splitter.flush())
             self.answering.end()
-        elif self.life.started:
+        elif self.state.response_started:
             self.answering.end()
         else:
             assert self._head is not None
             self.answering.reply(
                 self._head.status,
                 http_message.end_to_end(self._head.headers),
-                b"".join(self._held),
+                b"".join(self._buffered),
             )
         assert self._head is not None
-        self._close(f"answered {self._head.status}")
+        self._finish(f"answered {self._head.status}")
 
     def on_broken(self, reason: str) -> None:
-        """Judge a connection that ended before the answer was whole."""
+        """Handle a connection that closed before the response was complete."""
         if not self.done and self._target is not None:
-            self._owner.ends.on_broken(self, self._target, self._sent_at)
+            self._forwarder.crash_detector.on_broken(
+                self, self._target, self._sent_at
+            )
         self._on_fault(Fault.UNKNOWN, reason, hard=False)
 
     @property
-    def _passes_events(self) -> bool:
-        if not self.life.is_stream:
+    def _is_event_stream(self) -> bool:
+        if not self.state.is_stream:
             return False
-        return self.life.started or (
+        return self.state.response_started or (
             self._head is not None and 200 <= self._head.status < 300
         )
 
-    def _begin_answer(self, length: int | None) -> None:
-        if self.life.started:
+    def _start_response(self, length: int | None) -> None:
+        if self.state.response_started:
             return
         assert self._head is not None
-        self.life.started = True
+        self.state.response_started = True
         headers = http_message.end_to_end(self._head.headers)
         self.answering.start(self._head.status, headers, length)
 
-    # What goes wrong.
+    # Handling of faults.
 
-    def _on_unsent(self, reason: str) -> None:
+    def _on_connect_failed(self, reason: str) -> None:
         self._on_fault(Fault.UNSENT, reason, hard=True)
 
     def _on_fault(self, fault: Fault, reason: str, *, hard: bool) -> None:
         if self.done or self._target is None:
             return
-        now = self._owner.now()
+        now = self._forwarder.now()
         target = self._target
         if hard:
-            self._owner.pool.drop(_pool_key(target))
+            self._forwarder.pool.drop(_pool_key(target))
         if fault in (Fault.UNSENT, Fault.UNKNOWN):
-            self._owner.balancer.failed(target.target_id, now, hard=hard)
-        self._detach()
-        self._owner.notes.fault(self, target, fault, reason)
-        self._act(self.life.on_fault(target.target_id, fault, now))
-
-    def _detach(self) -> None:
-        """Let go of the target; whole events that came from it stay."""
-        self._drop_conn()
-        self._release()
-        self._head = self._head if self.life.started else None
-        self._held, self._held_bytes = [], 0
-        self._splitter = events_lib.EventSplitter(last_id=self.life.last_event)
+            self._forwarder.balancer.failed(target.target_id, now, hard=hard)
+        self._release_target()
+        self._forwarder.outcomes.on_fault(self, target, fault, reason)
+        self._apply(self.state.on_fault(target.target_id, fault, now))
+
+    def _release_target(self) -> None:
+        """Disconnect from the target and drop its unfinished data."""
+        self._close_connection()
+        self._release_slot()
+        self._head = self._head if self.state.response_started else None
+        self._buffered, self._buffered_bytes = [], 0
+        self._splitter = events_lib.EventSplitter(
+            last_id=self.state.last_event_id
+        )
 
     @property
-    def may_move(self) -> bool:
-        """Whether it is at a target now and may go on at another."""
-        return self._conn is not None and self.life.may_move
+    def can_move(self) -> bool:
+        """Whether a target has the request and another one may continue it."""
+        return self._conn is not None and self.state.can_move
 
     def leave_target(self) -> None:
-        """Stop the work at the target, to go on with it at another."""
-        self._detach()
-        self.life.moved()
-
-    def _act(self, verdict: life_lib.Verdict) -> None:
-        match verdict:
-            case life_lib.SendAgain():
-                self._owner.send_again(self)
-            case life_lib.GiveUp():
-                if not self._may_wait(verdict.code):
-                    self.refuse(verdict.code)
-            case life_lib.BreakOff():
+        """Cancel the request at its target to continue it at another one."""
+        self._release_target()
+        self.state.on_moved()
+
+    def _apply(self, decision: request_state.Decision) -> None:
+        match decision:
+            case request_state.Retry():
+                self._forwarder.retry(self)
+            case request_state.Fail():
+                if not self._try_wait(decision.code):
+                    self.reject(decision.code)
+            case request_state.Abort():
                 self.answering.abort()
-                self._close(f"broken off: {verdict.reason}")
+                self._finish(f"broken off: {decision.reason}")
 
-    def give_up(self, code: Code) -> None:
-        """End a request for which no other target is to be tried."""
-        self._act(self.life.give_up(code))
+    def fail(self, code: Code) -> None:
+        """End the request without trying another target."""
+        self._apply(self.state.fail(code))
 
-    def _may_wait(self, code: Code) -> bool:
-        if self.life.started or code not in _WAITABLE:
+    def _try_wait(self, code: Code) -> bool:
+        if self.state.response_started or code not in _WAITABLE_CODES:
             return False
-        return self._owner.waiting.for_targets(self)
+        return self._forwarder.admission.wait_for_targets(self)
 
-    def refuse(self, code: Code) -> None:
-        """Give the caller a numbered answer of our own."""
+    def reject(self, code: Code) -> None:
+        """Send the caller a response with the entry's own result code."""
         if self.done:
             return
-        self._drop_conn()
-        self._release()
-        self._owner.refuse(self, code)
-        self._close(code.name.lower())
+        self._close_connection()
+        self._release_slot()
+        self._forwarder.reject(self, code)
+        self._finish(code.name.lower())
 
-    def _on_time_up(self) -> None:
+    def _on_timeout(self) -> None:
         if self.done:
             return
-        self._owner.notes.time_up(self)
+        self._forwarder.outcomes.on_timeout(self)
         at_target = self._conn is not None
-        self._drop_conn()
-        self._release()
-        self._act(self.life.on_time_up(at_target=at_target))
+        self._close_connection()
+        self._release_slot()
+        self._apply(self.state.on_timeout(at_target=at_target))
 
-    def _on_gone(self) -> None:
+    def _on_caller_disconnected(self) -> None:
         if self.done:
             return
-        self._drop_conn()
-        self._release()
-        self._close("caller gone")
+        self._close_connection()
+        self._release_slot()
+        self._finish("caller gone")
 
-    # Ends.
+    # Cleanup.
 
-    def _drop_conn(self) -> None:
+    def _close_connection(self) -> None:
         if self._conn is not None:
             self._conn.close()
             self._conn = None
 
-    def _release(self) -> None:
-        """Give the place at the target back, once."""
-        if self._target is not None and self._holds_place:
-            self._owner.balancer.finish(self.target_id)
-            self._holds_place = False
+    def _release_slot(self) -> None:
+        """Release the request's slot at the target, at most once."""
+        if self._target is not None and self._holds_slot:
+            self._forwarder.balancer.finish(self.target_id)
+            self._holds_slot = False
 
-    def _close(self, outcome: str) -> None:
+    def _finish(self, outcome: str) -> None:
         self.done = True
         self._timer.cancel()
-        self._owner.closed(self, outcome)
+        self._forwarder.on_finished(self, outcome)
 
 
 def _pool_key(target: records.Target) -> str:
-    """Connections belong to an incarnation: addresses are used again."""
+    """Return the connection pool key of a target.
+
+    It includes the start of the target because addresses are reused.
+    """
     return f"{target.address}/{target.target_id}/{target.born}"
--- a/jasperweir/components/forward/forwarder.py
+++ b/jasperweir/components/forward/forwarder.py
@@ -1,4 +1,4 @@
-"""Requests of one entry: admitted, sent, sent again, answered."""
+"""Forwarding of all requests of one entry."""
 
 from collections.abc import Callable
 import itertools
@@ -16,22 +16,22 @@
 from jasperweir.components.deployment import index as index_lib
 from jasperweir.components.directory import directory as directory_lib
 from jasperweir.components.directory import records
+from jasperweir.components.forward import admission as admission_lib
+from jasperweir.components.forward import available_targets
+from jasperweir.components.forward import capacity as capacity_lib
+from jasperweir.components.forward import crash_detector
 from jasperweir.components.forward import dialect as dialect_lib
-from jasperweir.components.forward import early as early_lib
-from jasperweir.components.forward import end_watch
+from jasperweir.components.forward import early_requests
 from jasperweir.components.forward import exchange as exchange_lib
-from jasperweir.components.forward import life as life_lib
 from jasperweir.components.forward import matching
-from jasperweir.components.forward import notes as notes_lib
-from jasperweir.components.forward import pass_watch
-from jasperweir.components.forward import places as places_lib
+from jasperweir.components.forward import outcome_tracker
+from jasperweir.components.forward import pass_monitor
 from jasperweir.components.forward import queues as queues_lib
-from jasperweir.components.forward import record as record_lib
-from jasperweir.components.forward import refusals as refusals_lib
-from jasperweir.components.forward import starting as starting_lib
+from jasperweir.components.forward import recorder as recorder_lib
+from jasperweir.components.forward import rejections
+from jasperweir.components.forward import request_state
+from jasperweir.components.forward import startup_grace as startup_grace_lib
 from jasperweir.components.forward import stragglers
-from jasperweir.components.forward import targets as targets_lib
-from jasperweir.components.forward import waiting as waiting_lib
 from jasperweir.helpers import http_client
 from jasperweir.helpers import http_server
 from jasperweir.helpers import metrics as metrics_lib
@@ -40,22 +40,24 @@
 
 
 class Forwarder:
-    """Everything that the requests of one entry share.
+    """Admits requests, chooses their targets and retries them.
 
     Attributes:
         balancer: Open requests and health of targets.
-        neighbours: Entries and targets that this one deals with first.
-        places: Where a request may go now.
-        passes: Passes of groups of engines, and the limits from them.
-        notes: What is concluded from the answers of targets.
-        ends: Targets that end, and the requests that ran there.
-        targets: Which targets want requests now.
-        waiting: Who may go to one at once, and who may wait.
+        neighbours: Entries and targets in the same cell as this entry.
+        capacity: Free slots at targets, nearby ones first.
+        pass_monitor: Pass times of engine groups and the resulting limits.
+        outcomes: Updates of shared state after each attempt.
+        crash_detector: Detection of crashed targets and of the requests that
+            ran there.
+        targets: Targets that accept requests now.
+        admission: Policy on sending, queueing and rejecting requests.
         pool: Connections to targets.
         dialect: Protocol of callers and targets.
         index: Configuration in force, None before the first.
-        is_certain: Tells whether the configuration in force is the newest.
-        on_work: Called when ``tick`` has something to do soon.
+        is_certain: Returns whether the configuration in force is known to be
+            the newest.
+        on_work: Called when ``tick`` needs to run soon.
     """
 
     def __init__(
@@ -73,62 +75,66 @@
         self.dialect = dialect
         self.balancer = balancer_lib.Balancer(rng=rng)
         self.pool = http_client.Pool(times=times)
-        self.index: index_lib.Index | None = None
+        self.index: index_lib.DeploymentIndex | None = None
         self.is_certain: Callable[[], bool] = lambda: True
         self.on_work: Callable[[], None] = lambda: None
         self._clock = clock
         self._rng = rng
         self.neighbours = neighbours
-        self.places = places_lib.Places(
+        self.capacity = capacity_lib.CapacityFinder(
             balancer=self.balancer, neighbours=neighbours, rng=rng
         )
         self._directory = directory
         self._budget = budget_lib.RetryBudget(bounds=bounds)
-        self._record = record_lib.Recorder(metrics=metrics)
-        self.ends = end_watch.EndWatch(
+        self._recorder = recorder_lib.Recorder(metrics=metrics)
+        self.crash_detector = crash_detector.CrashDetector(
             clock=clock,
             pool=self.pool,
             directory=directory,
-            record=self._record,
+            recorder=self._recorder,
+        )
+        self._rejections = rejections.RejectionResponder(
+            dialect=dialect, rng=rng
         )
-        self._refusals = refusals_lib.Refusals(dialect=dialect, rng=rng)
         self._patience = patience_lib.UsualPatience()
         self._outages = outage_lib.Outages()
-        self._early = early_lib.EarlyRequests()
-        self._starting = starting_lib.Starting(started_at=clock.monotonic())
-        self._numbers = itertools.count(1)
-        self._open: dict[int, exchange_lib.Exchange] = {}
+        self._early_requests = early_requests.EarlyRequestBuffer()
+        self._startup_grace = startup_grace_lib.StartupGrace(
+            started_at=clock.monotonic()
+        )
+        self._exchange_numbers = itertools.count(1)
+        self._open_exchanges: dict[int, exchange_lib.Exchange] = {}
         self._queues = queues_lib.Queues(
             balancer=self.balancer,
             neighbours=neighbours,
             outages=self._outages,
             rng=rng,
         )
-        self.targets = targets_lib.Targets(
+        self.targets = available_targets.AvailableTargets(
             directory=directory,
             outages=self._outages,
             name=neighbours.name,
         )
-        self.notes = notes_lib.Notes(
+        self.outcomes = outcome_tracker.OutcomeTracker(
             clock=clock,
             targets=self.targets,
             balancer=self.balancer,
             outages=self._outages,
             queues=self._queues,
-            record=self._record,
-            starting=self._starting,
+            recorder=self._recorder,
+            startup_grace=self._startup_grace,
         )
-        self.waiting = waiting_lib.Waiting(
+        self.admission = admission_lib.AdmissionPolicy(
             clock=clock,
             queues=self._queues,
             outages=self._outages,
-            starting=self._starting,
+            startup_grace=self._startup_grace,
             targets=self.targets,
-            record=self._record,
+            recorder=self._recorder,
         )
-        self.waiting.on_work = lambda: self.on_work()
-        self.passes = pass_watch.PassWatch(
-            places=self.places, directory=directory, record=self._record
+        self.admission.on_work = lambda: self.on_work()
+        self.pass_monitor = pass_monitor.PassMonitor(
+            capacity=self.capacity, directory=directory, recorder=self._recorder
         )
 
     def now(self) -> float:
@@ -136,326 +142,369 @@
         return self._clock.monotonic()
 
     def stop(self) -> None:
-        """Refuse new requests from now on."""
-        self.waiting.stopping = True
+        """Reject new requests from now on."""
+        self.admission.stopping = True
 
     @property
     def stopping(self) -> bool:
-        """Whether new requests are refused."""
-        return self.waiting.stopping
+        """Whether new requests are rejected."""
+        return self.admission.stopping
 
     @property
     def open_count(self) -> int:
-        """Number of requests without a final answer."""
-        return len(self._open)
+        """Number of requests without a final response."""
+        return len(self._open_exchanges)
 
     # Arrival.
 
     def handle(self, answering: http_server.Answering) -> None:
-        """Take in a caller's request."""
+        """Handle a caller's request."""
         req = answering.request
         index = self.index
         try:
-            ask = self.dialect.ask(req)
+            caller_headers = self.dialect.parse_caller_headers(req)
         except ValueError as exc:
-            self._turn_away(answering, None, Code.BAD_HEADER, str(exc))
+            self._turn_away_request(answering, None, Code.BAD_HEADER, str(exc))
             return
         if index is None:
-            self._keep_early(answering, ask)
+            self._buffer_early(answering, caller_headers)
             return
-        self._accept(answering, ask, index, self.now())
+        self._accept(answering, caller_headers, index, self.now())
 
-    def _keep_early(
-        self, answering: http_server.Answering, ask: dialect_lib.Ask
+    def _buffer_early(
+        self,
+        answering: http_server.Answering,
+        caller_headers: dialect_lib.CallerHeaders,
     ) -> None:
-        """Keep a request for a moment until there are routes."""
+        """Buffer a request until a configuration has arrived."""
         now = self.now()
-        until = self._starting.kept_until(now, ask.patience_s)
-        if ask.resume_after:
-            until = now + balance_const.RESUMED_WAIT_SECONDS
-        many = len(self._early) >= balance_const.START_KEPT_MOST
-        if self.stopping or many or until <= now:
-            self._turn_away(answering, ask, Code.NOT_READY, "no configuration")
+        deadline = self._startup_grace.compute_deadline(
+            now, caller_headers.patience_s
+        )
+        if caller_headers.resume_after:
+            deadline = now + balance_const.RESUMED_WAIT_SECONDS
+        is_full = len(self._early_requests) >= balance_const.START_KEPT_MOST
+        if self.stopping or is_full or deadline <= now:
+            self._turn_away_request(
+                answering, caller_headers, Code.NOT_READY, "no configuration"
+            )
             return
-        self._early.keep(early_lib.Early(answering, ask, now, until))
-        self._record.kept(ask, until - now)
+        self._early_requests.add(
+            early_requests.EarlyRequest(
+                answering, caller_headers, now, deadline
+            )
+        )
+        self._recorder.record_buffered(caller_headers, deadline - now)
         self.on_work()
 
-    def _accept_early(self, early: early_lib.Early) -> bool:
+    def _accept_early(self, early: early_requests.EarlyRequest) -> bool:
         if self.index is None:
             return False
         self._accept(
             early.answering,
-            early.ask,
+            early.caller_headers,
             self.index,
-            early.arrived,
-            kept_until=early.until,
+            early.arrived_at,
+            startup_deadline=early.deadline,
         )
         return True
 
-    def _refuse_early(self, early: early_lib.Early) -> None:
-        self._turn_away(
-            early.answering, early.ask, Code.NOT_READY, "no configuration"
+    def _reject_early(self, early: early_requests.EarlyRequest) -> None:
+        self._turn_away_request(
+            early.answering,
+            early.caller_headers,
+            Code.NOT_READY,
+            "no configuration",
         )
 
     def _accept(
         self,
         answering: http_server.Answering,
-        ask: dialect_lib.Ask,
-        index: index_lib.Index,
+        caller_headers: dialect_lib.CallerHeaders,
+        index: index_lib.DeploymentIndex,
         arrived: float,
-        kept_until: float = float("-inf"),
+        startup_deadline: float = float("-inf"),
     ) -> None:
-        match = matching.find(index, answering.request, ask)
+        match = matching.match_request(index, answering.request, caller_headers)
         if isinstance(match, matching.Denial):
-            self._deny(answering, ask, match)
+            self._deny(answering, caller_headers, match)
             return
         if self.stopping:
-            self._turn_away(answering, ask, Code.DRAINING, "stopping")
+            self._turn_away_request(
+                answering, caller_headers, Code.DRAINING, "stopping"
+            )
             return
         now = self.now()
-        service = match.route.draw_service(self._rng)
-        used_s = self._patience.used(match.route, ask.patience_s)
-        life = life_lib.Life(match=match, ask=ask, now=arrived, used_s=used_s)
-        life.kept_until = kept_until
+        service = match.route.choose_service(self._rng)
+        used_s = self._patience.used(match.route, caller_headers.patience_s)
+        state = request_state.RequestState(
+            match=match,
+            caller_headers=caller_headers,
+            now=arrived,
+            used_s=used_s,
+        )
+        state.startup_deadline = startup_deadline
         exchange = exchange_lib.Exchange(
-            number=next(self._numbers),
-            owner=self,
+            number=next(self._exchange_numbers),
+            forwarder=self,
             answering=answering,
-            life=life,
+            state=state,
             service=service,
         )
-        self._open[exchange.number] = exchange
+        self._open_exchanges[exchange.number] = exchange
         self._budget.count_first(service, now)
         self._admit(exchange, now)
 
     def _deny(
         self,
         answering: http_server.Answering,
-        ask: dialect_lib.Ask,
+        caller_headers: dialect_lib.CallerHeaders,
         denial: matching.Denial,
     ) -> None:
-        """Deny what the configuration does not hold, if it is the newest."""
+        """Reject a request that the configuration does not allow.
+
+        The result is NOT_READY if a newer configuration may allow it.
+        """
         code = denial.code if self.is_certain() else Code.NOT_READY
-        self._turn_away(answering, ask, code, denial.detail)
+        self._turn_away_request(answering, caller_headers, code, denial.detail)
 
-    # Places.
+    # Target selection.
 
     def _admit(self, exchange: exchange_lib.Exchange, now: float) -> None:
-        if self.ends.hold_back(exchange, now):
+        if self.crash_detector.reject_if_quarantined(exchange, now):
             return
-        targets = self.targets.of(exchange.service, now)
+        targets = self.targets.list_available(exchange.service, now)
         if not targets:
-            self.waiting.without_target(exchange, now)
+            self.admission.wait_for_available_target(exchange, now)
             return
-        reach = self._reach(exchange.service, targets, now)
-        if self.waiting.may_go(exchange, reach, now):
-            self._send(exchange, reach, now)
+        candidates = self._find_candidates(exchange.service, targets, now)
+        if self.admission.may_send_now(exchange, candidates, now):
+            self._choose_and_send(exchange, candidates, now)
             return
-        running = self.places.open_at(targets, now)
-        self.waiting.for_place(exchange, reach, running, now)
+        running = self.capacity.count_open(targets, now)
+        self.admission.wait_for_slot(exchange, candidates, running, now)
 
-    def _reach(
+    def _find_candidates(
         self, service: str, targets: list[records.Target], now: float
-    ) -> places_lib.Reach:
-        return self.places.reach(targets, self.passes.limits.of(service), now)
+    ) -> capacity_lib.Candidates:
+        return self.capacity.find_candidates(
+            targets, self.pass_monitor.limits.of(service), now
+        )
 
-    def _send(
+    def _choose_and_send(
         self,
         exchange: exchange_lib.Exchange,
-        reach: places_lib.Reach,
+        candidates: capacity_lib.Candidates,
         now: float,
     ) -> None:
-        if self.ends.hold_back(exchange, now):
+        if self.crash_detector.reject_if_quarantined(exchange, now):
             return
-        tried = exchange.life.tried
-        # Others may have been sent there since the places were counted.
-        near = self.targets.still_open(reach.targets, exchange.service, now)
-        target = self.balancer.choose(near, tried, now)
+        tried_target_ids = exchange.state.tried_target_ids
+        # Requests sent since the slots were counted may have closed a target.
+        available = self.targets.filter_available(
+            candidates.targets, exchange.service, now
+        )
+        target = self.balancer.choose(available, tried_target_ids, now)
         if target is None:
-            # All near ones have been tried.
-            targets = self.targets.of(exchange.service, now)
-            target = self.balancer.choose(targets, tried, now)
+            # All nearby targets have been tried.
+            targets = self.targets.list_available(exchange.service, now)
+            target = self.balancer.choose(targets, tried_target_ids, now)
         if target is None:
-            self.waiting.without_target(exchange, now)
+            self.admission.wait_for_available_target(exchange, now)
             return
         target_id = target.target_id
         self._outages.of(exchange.service).on_sent(now)
-        self._record.chosen(
+        self._recorder.record_choice(
             exchange,
             target,
-            at_target=self.balancer.count_at(target_id, now),
-            unknown=self.balancer.unknown_at(target_id, now),
-            free=reach.places,
-            targets=len(reach.targets),
-            rest_left_s=self.targets.asked.rest_left_s(target, now),
+            open_requests=self.balancer.count_at(target_id, now),
+            unreported=self.balancer.unknown_at(target_id, now),
+            free_slots=candidates.free_slots,
+            candidate_count=len(candidates.targets),
+            backoff_left_s=self.targets.backpressure.rest_left_s(target, now),
             now=now,
         )
-        self.targets.asked.on_chosen(target, now)
+        self.targets.backpressure.on_chosen(target, now)
         exchange.send_to(target)
 
-    def on_marks(self, now: float) -> None:
-        """Refuse those who wait and are now known to end targets."""
-        for service in self._queues.services():
-            for number in self._queues.of(service).gate.numbers():
-                exchange = self._open.get(number)
+    def reject_quarantined(self, now: float) -> None:
+        """Reject queued requests that are quarantined by now."""
+        for service in self._queues.list_waiting_services():
+            for number in self._queues.get(service).gate.numbers():
+                exchange = self._open_exchanges.get(number)
                 if exchange is not None:
-                    self.ends.hold_back(exchange, now)
+                    self.crash_detector.reject_if_quarantined(exchange, now)
 
-    def send_again(self, exchange: exchange_lib.Exchange) -> None:
-        """Send a request to another target if the budget allows."""
+    def retry(self, exchange: exchange_lib.Exchange) -> None:
+        """Send a request to another target if the retry budget allows."""
         now = self.now()
         if self._outages.of(exchange.service).lasts(now):
-            # Another target would refuse it as well.
-            exchange.give_up(Code.TARGETS_REFUSED)
+            # Another target would refuse the request as well.
+            exchange.fail(Code.TARGETS_REFUSED)
             return
-        targets = self.targets.of(exchange.service, now)
-        reach = self._reach(exchange.service, targets, now)
-        self._send_once_more(exchange, reach, now)
+        targets = self.targets.list_available(exchange.service, now)
+        candidates = self._find_candidates(exchange.service, targets, now)
+        self._send_within_budget(exchange, candidates, now)
 
     @property
     def has_work(self) -> bool:
-        """Whether ``tick`` has something to do: who waits, passes seen."""
-        if len(self._early) or self._queues.services():
+        """Whether ``tick`` has queues or measured passes to process."""
+        if len(self._early_requests) or self._queues.list_waiting_services():
             return True
-        return bool(self.passes.limits.due())
+        return bool(self.pass_monitor.limits.due())
 
     def tick(self) -> None:
-        """Let time pass: give places to those who wait, refuse the late.
+        """Send queued requests to free slots and reject expired ones.
 
-        Due within TICK_SECONDS of an ``on_work``, and as long as ``has_work``.
+        To be called within TICK_SECONDS of an ``on_work`` call, and again while
+        ``has_work`` is true.
         """
         now = self.now()
-        self.passes.tick(now)
-        if len(self._early):
-            self._early.release(
-                now, accept=self._accept_early, refuse=self._refuse_early
+        self.pass_monitor.tick(now)
+        if len(self._early_requests):
+            self._early_requests.release(
+                now, accept=self._accept_early, reject=self._reject_early
             )
-        for service in self._queues.services():
+        for service in self._queues.list_waiting_services():
             self._serve_queue(service, now)
-        self._queues.tell(now)
+        self._queues.publish(now)
 
     def _serve_queue(self, service: str, now: float) -> None:
-        """Send those who get a place, refuse those who have waited enough."""
-        gate = self._queues.of(service).gate
-        targets = self.targets.of(service, now)
-        reach = self._reach(service, targets, now)
-        starts = self._starting.lasts(now)
-        given = self._queues.given(service, reach, now, starts=starts)
-        # In an overload without a start, room for those in time costs those who
-        # are late more refusals than it brings.
-        yielding = given.yielding if starts else None
-        for number in gate.admit(given.total, now, yielding=yielding):
-            exchange = self._open.get(number)
+        """Send the admitted requests of a queue and reject the expired ones."""
+        gate = self._queues.get(service).gate
+        targets = self.targets.list_available(service, now)
+        candidates = self._find_candidates(service, targets, now)
+        is_starting = self._startup_grace.is_active(now)
+        admissible = self._queues.count_admissible(
+            service, candidates, now, is_starting=is_starting
+        )
+        # Late requests yield slots to timely ones only during startup. In any
+        # other overload this costs more rejections than it avoids.
+        yielding = admissible.yielding if is_starting else None
+        for number in gate.admit(admissible.total, now, yielding=yielding):
+            exchange = self._open_exchanges.get(number)
             if exchange is not None:
-                self._send_once_more(exchange, reach, now)
+                self._send_within_budget(exchange, candidates, now)
         for number in gate.expire(now):
-            exchange = self._open.get(number)
+            exchange = self._open_exchanges.get(number)
             if exchange is not None:
-                exchange.give_up(Code.OVERLOADED)
+                exchange.fail(Code.OVERLOADED)
 
-    def _send_once_more(
+    def _send_within_budget(
         self,
         exchange: exchange_lib.Exchange,
-        reach: places_lib.Reach,
+        candidates: capacity_lib.Candidates,
         now: float,
     ) -> None:
-        arrived = exchange.life.arrivals > 0
-        if arrived and not self._take_retry(exchange.service, now):
-            exchange.give_up(Code.TARGETS_REFUSED)
+        is_retry = exchange.state.deliveries > 0
+        if is_retry and not self._take_retry(exchange.service, now):
+            exchange.fail(Code.TARGETS_REFUSED)
             return
-        self._send(exchange, reach, now)
+        self._choose_and_send(exchange, candidates, now)
 
     def _take_retry(self, service: str, now: float) -> bool:
-        taken = self._budget.take(service, self.places.entries, now)
-        self._record.retry(taken=taken)
+        taken = self._budget.take(service, self.capacity.entry_count, now)
+        self._recorder.record_retry(taken=taken)
         return taken
 
-    def on_paces(self, paces: dict[str, float], now: float) -> None:
-        """Take in which targets, by address, are slow; streams leave them."""
-        self.balancer.on_paces(paces, now)
-        for exchange in stragglers.leaving(
-            self._open.values(), self.balancer, self._directory, now
+    def update_slowdowns(self, slowdowns: dict[str, float], now: float) -> None:
+        """Update the slowdowns of targets and move streams away from slow ones.
+
+        Args:
+            slowdowns: Slowdown factors by target address.
+            now: Monotonic seconds.
+        """
+        self.balancer.on_paces(slowdowns, now)
+        for exchange in stragglers.find_streams_to_move(
+            self._open_exchanges.values(), self.balancer, self._directory, now
         ):
-            self._move(exchange, now)
+            self._move_stream(exchange, now)
 
-    def _move(self, exchange: exchange_lib.Exchange, now: float) -> None:
-        targets = self.targets.of(exchange.service, now)
-        reach = self._reach(exchange.service, targets, now)
-        if reach.places < 1 or not self._take_retry(exchange.service, now):
+    def _move_stream(self, exchange: exchange_lib.Exchange, now: float) -> None:
+        targets = self.targets.list_available(exchange.service, now)
+        candidates = self._find_candidates(exchange.service, targets, now)
+        if candidates.free_slots < 1 or not self._take_retry(
+            exchange.service, now
+        ):
             return
-        self._record.moved(exchange)
+        self._recorder.record_move(exchange)
         exchange.leave_target()
-        self._send(exchange, reach, now)
+        self._choose_and_send(exchange, candidates, now)
 
     # Other entries.
 
     def on_entries(self, entries: tuple[records.Node, ...]) -> None:
-        """Take in the entries that there are, this one included."""
-        self.places.entries = max(len(entries), 1)
+        """Update the list of entries, this one included."""
+        self.capacity.entry_count = max(len(entries), 1)
         self.neighbours.on_entries(entries)
         names = (entry.name for entry in entries)
-        self.targets.asked.shares.on_entries(names, self.now())
+        self.targets.backpressure.shares.on_entries(names, self.now())
 
     def share(self) -> balance_messages.Share:
-        """Return what to tell the other entries."""
-        refusing = self.targets.asked.refusing(self.now())
+        """Return the load report for other entries."""
+        refusing = self.targets.backpressure.refusing(self.now())
         return self.balancer.share()._replace(refusing=refusing)
 
     def on_share(self, src: str, msg: balance_messages.Share) -> None:
-        """Take in what another entry tells."""
+        """Handle another entry's load report."""
         now = self.now()
         self.balancer.on_share(src, msg, now)
-        self.targets.asked.on_told(msg.refusing, now)
+        self.targets.backpressure.on_told(msg.refusing, now)
 
     def tidy(self) -> None:
-        """Drop what is not used any more: connections, and rests long over."""
+        """Close idle connections and drop expired backpressure state."""
         now = self.now()
         self.pool.tidy()
         self.targets.tidy(now)
-        self._record.asking(self.targets.asked.counts(now))
+        self._recorder.record_signal_counts(
+            self.targets.backpressure.counts(now)
+        )
 
-    # Ends.
+    # Completion.
 
-    def closed(self, exchange: exchange_lib.Exchange, outcome: str) -> None:
-        """Forget a request that has ended, and record what became of it."""
-        self._open.pop(exchange.number, None)
-        if self._queues.withdraw(exchange):
-            # The other entries are told that it waits no more.
+    def on_finished(
+        self, exchange: exchange_lib.Exchange, outcome: str
+    ) -> None:
+        """Remove a finished request and record its outcome."""
+        self._open_exchanges.pop(exchange.number, None)
+        if self._queues.remove(exchange):
+            # The shorter queue must be published to the other entries.
             self.on_work()
-        self._record.ended(
-            exchange, outcome, version=self._version, now=self.now()
+        self._recorder.record_end(
+            exchange, outcome, version=self._config_version, now=self.now()
         )
 
     @property
-    def _version(self) -> int:
+    def _config_version(self) -> int:
         """Configuration version in force, 0 before the first."""
         return self.index.deployment.version if self.index else 0
 
-    def note_pause(self, service: str, seconds: float) -> None:
-        """Note the pause between two events of a stream."""
-        if self.passes.limits.on_pause(service, seconds):
+    def record_pause(self, service: str, seconds: float) -> None:
+        """Record the pause between two events of a stream."""
+        if self.pass_monitor.limits.on_pause(service, seconds):
             self.on_work()
 
-    def refuse(self, exchange: exchange_lib.Exchange, code: Code) -> None:
-        """Answer a request by a result code, with when to come back."""
+    def reject(self, exchange: exchange_lib.Exchange, code: Code) -> None:
+        """Send a result code to the caller, with the delay before a retry."""
         now = self.now()
-        self._refusals.refuse(
+        self._rejections.reject(
             exchange.answering,
-            exchange.life.ask,
+            exchange.state.caller_headers,
             code,
             now,
             outage=self._outages.of(exchange.service).lasts(now),
-            foreseen_s=exchange.life.foreseen_s,
-            held_s=self.ends.verdict(exchange, now).held_s,
+            expected_wait_s=exchange.state.expected_wait_s,
+            quarantine_s=self.crash_detector.find_verdict(exchange, now).held_s,
         )
 
-    def _turn_away(
+    def _turn_away_request(
         self,
         answering: http_server.Answering,
-        ask: dialect_lib.Ask | None,
+        caller_headers: dialect_lib.CallerHeaders | None,
         code: Code,
         detail: str,
     ) -> None:
-        self._record.turned_away(ask, code, detail, self._version)
-        self._refusals.refuse(answering, ask, code, self.now())
+        self._recorder.record_turned_away(
+            caller_headers, code, detail, self._config_version
+        )
+        self._rejections.reject(answering, caller_headers, code, self.now())
--- a/jasperweir/components/forward/matching.py
+++ b/jasperweir/components/forward/matching.py
@@ -1,4 +1,4 @@
-"""Which route and customer of the configuration a request belongs to."""
+"""Matching of requests to routes and customers of the configuration."""
 
 from typing import NamedTuple
 
@@ -11,21 +11,25 @@
 
 
 class Denial(NamedTuple):
-    """The configuration does not allow a request."""
+    """The reason why the configuration does not allow a request."""
 
     code: Code
     detail: str
 
 
-def find(
-    index: index_lib.Index, req: http_message.Request, ask: dialect_lib.Ask
-) -> index_lib.Match | Denial:
-    """Return the route and customer of a request, or why it has none."""
+def match_request(
+    index: index_lib.DeploymentIndex,
+    req: http_message.Request,
+    caller_headers: dialect_lib.CallerHeaders,
+) -> index_lib.RouteMatch | Denial:
+    """Return the route and customer of a request, or why it is denied."""
     host = (req.header(b"host") or b"").decode("latin-1")
-    route = index.route(host, req.path)
+    route = index.find_route(host, req.path)
     if route is None:
         return Denial(Code.NO_ROUTE, host + req.path)
-    customer = index.customer(ask.key) if ask.key else None
-    if customer is None and index.keyed and not route.public:
+    customer = (
+        index.find_customer(caller_headers.key) if caller_headers.key else None
+    )
+    if customer is None and index.requires_key and not route.public:
         return Denial(Code.KEY_UNKNOWN, route.name)
-    return index_lib.Match(route=route, customer=customer)
+    return index_lib.RouteMatch(route=route, customer=customer)
--- /dev/null
+++ b/jasperweir/components/forward/outcome_tracker.py
@@ -0,0 +1,110 @@
+"""Updates of an entry's shared state after each attempt."""
+
+from collections.abc import Callable
+
+from jasperweir import core
+from jasperweir.components.backpressure import asked as asked_lib
+from jasperweir.components.backpressure import signals as signals_lib
+from jasperweir.components.balance import balancer as balancer_lib
+from jasperweir.components.balance import const
+from jasperweir.components.balance import outage as outage_lib
+from jasperweir.components.directory import records
+from jasperweir.components.forward import available_targets
+from jasperweir.components.forward import exchange as exchange_lib
+from jasperweir.components.forward import queues as queues_lib
+from jasperweir.components.forward import recorder as recorder_lib
+from jasperweir.components.forward import request_state
+from jasperweir.components.forward import startup_grace as startup_grace_lib
+
+
+class OutcomeTracker:
+    """Updates outages, backpressure and forecasts from the outcome of attempts.
+
+    Attributes:
+        on_replaced: Called with a target whose address another one has taken.
+        on_leaving: Called with a target that announces its shutdown.
+    """
+
+    def __init__(
+        self,
+        *,
+        clock: core.Clock,
+        targets: available_targets.AvailableTargets,
+        balancer: balancer_lib.Balancer,
+        outages: outage_lib.Outages,
+        queues: queues_lib.Queues,
+        recorder: recorder_lib.Recorder,
+        startup_grace: startup_grace_lib.StartupGrace,
+    ) -> None:
+        self.on_replaced: Callable[[records.Target], None] = lambda _: None
+        self.on_draining: Callable[[records.Target], None] = lambda _: None
+        self._clock = clock
+        self._targets = targets
+        self._balancer = balancer
+        self._outages = outages
+        self._queues = queues
+        self._recorder = recorder
+        self._startup_grace = startup_grace
+
+    def on_signals(
+        self,
+        target: records.Target,
+        signals: signals_lib.Signals,
+        sent_at: float,
+    ) -> None:
+        """Handle the backpressure signals in a response head."""
+        now = self._clock.monotonic()
+        changes = self._targets.backpressure.on_answer(
+            target, signals, now, sent_at
+        )
+        self._recorder.record_signals(target, signals, changes)
+        if asked_lib.Change.LEAVES in changes:
+            self.on_draining(target)
+
+    def on_fault(
+        self,
+        exchange: exchange_lib.Exchange,
+        target: records.Target,
+        fault: request_state.Fault,
+        reason: str,
+    ) -> None:
+        """Handle an attempt that brought no usable response."""
+        now = self._clock.monotonic()
+        if fault is request_state.Fault.REPLACED:
+            self.on_replaced(target)
+        # Backpressure of one target does not indicate an outage of its service.
+        is_backing_off = self._targets.backpressure.bars(target, now)
+        if fault is request_state.Fault.NOT_RUN and not is_backing_off:
+            self._targets.backpressure.on_refused(target, now)
+            threshold = const.OUTAGE_REFUSALS
+            if self._startup_grace.is_active(now):
+                threshold = const.START_REFUSALS
+            if self._outages.of(exchange.service).on_refusal(now, threshold):
+                self._recorder.record_outage(exchange.service, begins=True)
+        at_target = self._balancer.count_at(target.target_id, now)
+        self._recorder.record_fault(exchange, target, fault, reason, at_target)
+
+    def on_accepted(
+        self, exchange: exchange_lib.Exchange, target: records.Target
+    ) -> None:
+        """Handle a request that a target has accepted."""
+        now = self._clock.monotonic()
+        if self._targets.backpressure.on_taken(target, now):
+            self._recorder.record_recovery(target)
+        if self._outages.of(exchange.service).on_answer(now):
+            self._targets.on_service_recovered(exchange.service, now)
+            self._recorder.record_outage(exchange.service, begins=False)
+
+    def on_completed(
+        self, exchange: exchange_lib.Exchange, sent_at: float
+    ) -> None:
+        """Handle a complete response of a target."""
+        duration_s = self._clock.monotonic() - sent_at
+        first_byte_s = max(exchange.first_byte_at - sent_at, 0.0)
+        self._queues.get(exchange.service).forecast.on_end(
+            duration_s, first_byte_s
+        )
+
+    def on_timeout(self, exchange: exchange_lib.Exchange) -> None:
+        """Handle a request whose deadline has passed."""
+        self._recorder.record_timeout(exchange)
--- a/jasperweir/components/forward/queues.py
+++ b/jasperweir/components/forward/queues.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a place, by service, at one entry; sans-I/O."""
+"""Queues of requests that wait for a slot, by service; sans-I/O."""
 
 import math
 import random
@@ -10,16 +10,16 @@
 from jasperweir.components.balance import messages
 from jasperweir.components.balance import neighbours as neighbours_lib
 from jasperweir.components.balance import outage as outage_lib
+from jasperweir.components.forward import capacity as capacity_lib
 from jasperweir.components.forward import exchange as exchange_lib
-from jasperweir.components.forward import places as places_lib
 
 
 class Queue:
-    """Requests of one service that wait here.
+    """Waiting requests of one service at this entry.
 
     Attributes:
-        gate: Who waits.
-        forecast: How long requests of this service take.
+        gate: Waiting requests by priority.
+        forecast: Estimate of how long requests of this service take.
     """
 
     def __init__(self) -> None:
@@ -28,7 +28,7 @@
 
 
 class Queues:
-    """All that wait at this entry, and their part of the free places."""
+    """Waiting requests of this entry and its share of the free slots."""
 
     def __init__(
         self,
@@ -44,116 +44,131 @@
         self._rng = rng
         self._by_service: dict[str, Queue] = {}
 
-    def of(self, service: str) -> Queue:
+    def get(self, service: str) -> Queue:
         """Return the queue of a service."""
         return self._by_service.setdefault(service, Queue())
 
-    def services(self) -> list[str]:
-        """Return the services for which any request waits."""
+    def list_waiting_services(self) -> list[str]:
+        """Return the services that have waiting requests."""
         return [name for name, q in self._by_service.items() if len(q.gate)]
 
-    def foreseen_s(
-        self, service: str, reach: places_lib.Reach, running: int, now: float
+    def estimate_wait_s(
+        self,
+        service: str,
+        candidates: capacity_lib.Candidates,
+        running: int,
+        now: float,
     ) -> float:
-        """Return the seconds after which a further request gets a place.
+        """Estimate when one more request would get a slot, in seconds.
 
         Args:
             service: Its service.
-            reach: Places that it may have; fewer than none if some must come
-                free before anybody gets one.
-            running: Requests at the service's targets.
+            candidates: Targets that it may be sent to.
+            running: Number of requests that run at the service's targets.
             now: Monotonic seconds.
         """
-        queue = self.of(service)
-        # Who is late already waits behind it.
-        ahead = queue.gate.timely(now) - min(reach.places, 0)
+        queue = self.get(service)
+        # Late requests are served after timely ones and do not count.
+        ahead = queue.gate.timely(now) - min(candidates.free_slots, 0)
         ahead += self._balancer.queue_elsewhere(service, now).timely
         return queue.forecast.wait_s(ahead=ahead, running=running)
 
-    def wait(self, exchange: exchange_lib.Exchange, not_before: float) -> None:
-        """Queue a request."""
-        life = exchange.life
-        queue = self.of(exchange.service)
+    def enqueue(
+        self, exchange: exchange_lib.Exchange, not_before: float
+    ) -> None:
+        """Add a request to the queue of its service.
+
+        Args:
+            exchange: The request.
+            not_before: Earliest time to send it, monotonic seconds.
+        """
+        state = exchange.state
+        queue = self.get(exchange.service)
         queue.gate.wait(
             gate_lib.Waiting(
-                priority=life.match.priority,
-                since=life.asked_at,
+                priority=state.match.priority,
+                since=state.first_attempt_at,
                 number=exchange.number,
-                until=life.waits_until,
+                until=state.wait_deadline,
                 not_before=not_before,
                 timely_until=self._timely_until(exchange),
             )
         )
 
-    def withdraw(self, exchange: exchange_lib.Exchange) -> bool:
-        """Take out a request that has ended; return whether it waited."""
-        return self.of(exchange.service).gate.withdraw(exchange.number)
+    def remove(self, exchange: exchange_lib.Exchange) -> bool:
+        """Remove a finished request and return whether it was queued."""
+        return self.get(exchange.service).gate.withdraw(exchange.number)
 
     def is_timely(self, exchange: exchange_lib.Exchange, now: float) -> bool:
-        """Tell whether a request that is sent now can be in time."""
+        """Return whether a request sent now can meet its target time."""
         return now <= self._timely_until(exchange)
 
     def _timely_until(self, exchange: exchange_lib.Exchange) -> float:
-        life = exchange.life
-        if life.is_resumed:
-            # Its caller holds a part of the answer and has no further try: the
-            # rest is late whenever it comes, and lost if it does not.
+        state = exchange.state
+        if state.is_resumed:
+            # The caller cannot retry a partial response again, so the rest is
+            # worth sending however late it is.
             return math.inf
-        ends_in_time = life.asked_at + life.match.route.target_s
-        return ends_in_time - self.of(exchange.service).forecast.first_s
+        target_end = state.first_attempt_at + state.match.route.target_s
+        return target_end - self.get(exchange.service).forecast.first_s
 
-    def given(
+    def count_admissible(
         self,
         service: str,
-        reach: places_lib.Reach,
+        candidates: capacity_lib.Candidates,
         now: float,
         *,
-        starts: bool = False,
+        is_starting: bool = False,
     ) -> forecast_lib.Part:
-        """Return how many of those who wait are sent now.
+        """Return how many waiting requests may be sent now.
 
         Args:
             service: Their service.
-            reach: Places that they may have.
+            candidates: Targets that they may be sent to.
             now: Monotonic seconds.
-            starts: Whether this entry, and the targets with it most likely, has
+            is_starting: Whether this entry, and so probably its targets, has
                 just started.
         """
-        if self._refuses(service, now, starts=starts):
+        if self._is_in_outage(service, now, is_starting=is_starting):
             probes = int(
-                reach.places >= 1 and self._probe(service, now, starts)
+                candidates.free_slots >= 1
+                and self._take_probe(service, now, is_starting)
             )
             return forecast_lib.Part(timely=0, late=probes, yielding=probes)
-        others = self._balancer.queue_elsewhere(service, now)
-        # Of entries beyond the own cell nothing is known but their number.
-        known = 1 + len(self._neighbours.peers)
-        seen = min(1.0, known / max(reach.entries, 1))
-        own = self._own(service, now)
+        other_queues = self._balancer.queue_elsewhere(service, now)
+        # The queues of entries outside the own cell are unknown.
+        known_entries = 1 + len(self._neighbours.peers)
+        known_share = min(1.0, known_entries / max(candidates.entry_count, 1))
+        own_queue = self._summarize(service, now)
         return forecast_lib.part(
-            reach.places * seen,
-            own,
-            others,
+            candidates.free_slots * known_share,
+            own_queue,
+            other_queues,
             self._rng,
-            late_places=reach.late * seen,
+            late_places=candidates.late_slots * known_share,
         )
 
-    def _refuses(self, service: str, now: float, *, starts: bool) -> bool:
-        """Tell whether all targets of a service refuse at present."""
+    def _is_in_outage(
+        self, service: str, now: float, *, is_starting: bool
+    ) -> bool:
+        """Return whether all targets of a service refuse requests."""
         outage = self._outages.of(service)
-        return outage.lasts(now) and not (starts and outage.seems_over(now))
+        return outage.lasts(now) and not (
+            is_starting and outage.seems_over(now)
+        )
 
-    def _probe(self, service: str, now: float, starts: bool) -> bool:
+    def _take_probe(self, service: str, now: float, is_starting: bool) -> bool:
         outage = self._outages.of(service)
-        if starts:
+        if is_starting:
             return outage.take_probe(now, balance_const.START_PROBE_SECONDS)
         return outage.take_probe(now)
 
-    def tell(self, now: float) -> None:
-        """Let the other entries be told who waits here."""
+    def publish(self, now: float) -> None:
+        """Update the queue lengths in the load report for other entries."""
         for service in self._by_service:
-            self._balancer.note_queue(self._own(service, now))
+            self._balancer.note_queue(self._summarize(service, now))
 
-    def _own(self, service: str, now: float) -> messages.Queue:
-        gate = self.of(service).gate
+    def _summarize(self, service: str, now: float) -> messages.Queue:
+        gate = self.get(service).gate
         timely = gate.timely(now)
         return messages.Queue(service, timely, len(gate) - timely)
--- /dev/null
+++ b/jasperweir/components/forward/recorder.py
@@ -0,0 +1,295 @@
+"""Log lines and metrics of forwarding decisions."""
+
+import math
+
+from jasperweir import result_codes
+from jasperweir.components.backpressure import asked as asked_lib
+from jasperweir.components.backpressure import signals as signals_lib
+from jasperweir.components.directory import records
+from jasperweir.components.forward import dialect as dialect_lib
+from jasperweir.components.forward import exchange as exchange_lib
+from jasperweir.components.forward import request_state
+from jasperweir.components.quarantine import ledger as ledger_lib
+from jasperweir.components.quarantine import suspects as suspects_lib
+from jasperweir.helpers import logs
+from jasperweir.helpers import metrics as metrics_lib
+
+_log = logs.logger("forward")
+
+
+class Recorder:
+    """Records each forwarding decision with its inputs."""
+
+    def __init__(self, *, metrics: metrics_lib.Metrics) -> None:
+        self._metrics = metrics
+
+    def record_choice(
+        self,
+        exchange: exchange_lib.Exchange,
+        target: records.Target,
+        *,
+        open_requests: int,
+        unreported: int,
+        free_slots: int,
+        candidate_count: int,
+        backoff_left_s: float,
+        now: float,
+    ) -> None:
+        """Record the choice of a target.
+
+        Args:
+            exchange: The request.
+            target: The chosen target.
+            open_requests: Known open requests at the target.
+            unreported: Those of them that no entry has reported.
+            free_slots: Free slots at the candidate targets.
+            candidate_count: Number of candidate targets.
+            backoff_left_s: Time left of the back-off that the target requested,
+                seconds.
+            now: Monotonic seconds.
+        """
+        state = exchange.state
+        _log.info(
+            "target chosen",
+            id=state.caller_headers.request_id,
+            target=target.target_id,
+            open=open_requests,
+            unknown=unreported,
+            free=free_slots,
+            targets=candidate_count,
+            rest_left_ms=round(backoff_left_s * 1000),
+            waited_ms=round((now - state.arrived_at) * 1000),
+            sends=state.attempts,
+        )
+
+    def record_wait(self, exchange: exchange_lib.Exchange, now: float) -> None:
+        """Record that a request waits for a slot or for a target."""
+        state = exchange.state
+        self._metrics.inc("waits", last_try=str(state.is_last_attempt).lower())
+        _log.info(
+            "request waits",
+            id=state.caller_headers.request_id,
+            service=exchange.service,
+            sends=state.attempts,
+            used_ms=round((state.arrived_at - state.first_attempt_at) * 1000),
+            foreseen_ms=round(state.expected_wait_s * 1000),
+            until_ms=round((state.wait_deadline - now) * 1000),
+        )
+
+    def record_buffered(
+        self, caller_headers: dialect_lib.CallerHeaders, wait_s: float
+    ) -> None:
+        """Record that a request waits for a configuration."""
+        self._metrics.inc("kept_without_configuration")
+        _log.info(
+            "request kept without configuration",
+            id=caller_headers.request_id,
+            until_ms=round(wait_s * 1000),
+        )
+
+    def record_saturation(
+        self,
+        service: str,
+        *,
+        begins: bool,
+        pass_s: float,
+        streams: float,
+        max_streams: float,
+    ) -> None:
+        """Record that the pass time starts or stops to block new streams.
+
+        Args:
+            service: Service whose engines make the passes.
+            begins: Whether new streams are blocked from now on.
+            pass_s: Smoothed time of a pass, seconds.
+            streams: Open streams per target.
+            max_streams: Maximum number of streams per target.
+        """
+        if begins:
+            self._metrics.inc("passes_too_long", service=service)
+        _log.info(
+            "passes too long" if begins else "passes short again",
+            service=service,
+            pass_ms=round(pass_s * 1000),
+            streams=round(streams, 2),
+            limit=round(max_streams, 2) if math.isfinite(max_streams) else None,
+        )
+
+    def record_pass(self, service: str, pass_s: float, streams: float) -> None:
+        """Update the metrics of pass time and streams per target."""
+        self._metrics.gauge("pass_seconds", pass_s, service=service)
+        self._metrics.gauge("streams_per_target", streams, service=service)
+
+    def record_outage(self, service: str, *, begins: bool) -> None:
+        """Record the start or end of an outage of all targets of a service."""
+        if begins:
+            self._metrics.inc("outages", service=service)
+        _log.info(
+            "targets refuse" if begins else "targets accept again",
+            service=service,
+        )
+
+    def record_retry(self, *, taken: bool) -> None:
+        """Count a retry that the budget allowed or denied."""
+        self._metrics.inc("retries" if taken else "retries_denied")
+
+    def record_end(
+        self,
+        exchange: exchange_lib.Exchange,
+        outcome: str,
+        *,
+        version: int,
+        now: float,
+    ) -> None:
+        """Record the outcome of a request."""
+        state = exchange.state
+        first_byte_at = exchange.first_byte_at
+        self._metrics.inc(
+            "requests", route=state.match.route.name, outcome=outcome
+        )
+        self._metrics.observe("request_seconds", now - state.arrived_at)
+        if first_byte_at:
+            self._metrics.observe(
+                "first_byte_seconds", first_byte_at - state.arrived_at
+            )
+        _log.info(
+            "request ended",
+            id=state.caller_headers.request_id,
+            route=state.match.route.name,
+            customer=state.customer_name,
+            service=exchange.service,
+            target=exchange.target_id,
+            sends=state.attempts,
+            outcome=outcome,
+            version=version,
+            first_ms=round((first_byte_at - state.arrived_at) * 1000)
+            if first_byte_at
+            else -1,
+            gap_ms=round(exchange.longest_gap_s * 1000),
+            total_ms=round((now - state.arrived_at) * 1000),
+            used_ms=round((state.arrived_at - state.first_attempt_at) * 1000),
+            target_ms=round(state.match.route.target_s * 1000),
+            gap_target_ms=round(state.match.route.gap_s * 1000),
+        )
+
+    def record_fault(
+        self,
+        exchange: exchange_lib.Exchange,
+        target: records.Target,
+        fault: request_state.Fault,
+        reason: str,
+        open_requests: int,
+    ) -> None:
+        """Record an attempt that brought no usable response."""
+        self._metrics.inc("faults", fault=fault.value)
+        _log.info(
+            "send failed",
+            id=exchange.state.caller_headers.request_id,
+            target=target.target_id,
+            address=target.address,
+            fault=fault.value,
+            reason=reason,
+            open=open_requests,
+        )
+
+    def record_signals(
+        self,
+        target: records.Target,
+        signals: signals_lib.Signals,
+        changes: list[asked_lib.Change],
+    ) -> None:
+        """Record changed backpressure signals of a target."""
+        for change in changes:
+            self._metrics.inc("target_signals", signal=change.value)
+            _log.info(
+                f"target {change.value}",
+                target=target.target_id,
+                address=target.address,
+                rest_s=signals.rest_s,
+                limit_per_s=signals.limit_per_s,
+                unreadable=list(signals.unreadable),
+            )
+
+    def record_recovery(self, target: records.Target) -> None:
+        """Record that a target accepts requests after a back-off."""
+        _log.info(
+            "target takes requests again",
+            target=target.target_id,
+            address=target.address,
+        )
+
+    def record_signal_counts(self, counts: dict[str, int]) -> None:
+        """Update the metric of targets that send each signal."""
+        for signal, count in counts.items():
+            self._metrics.gauge("targets_asking", float(count), signal=signal)
+
+    def record_probe(self, case: suspects_lib.Case, result: str) -> None:
+        """Record the probe of a target whose connections broke.
+
+        Args:
+            case: The target and its affected requests.
+            result: Result of the probe.
+        """
+        self._metrics.inc("broken_targets", sign=result)
+        _log.info(
+            "target checked",
+            target=case.target.target_id,
+            address=case.target.address,
+            sign=result,
+            requests={
+                found.label: broken.request_id
+                for found, broken in case.suspects.items()
+            },
+        )
+
+    def record_quarantined(
+        self, exchange: exchange_lib.Exchange, verdict: ledger_lib.Verdict
+    ) -> None:
+        """Record the rejection of a quarantined request."""
+        self._metrics.inc("held_back")
+        _log.info(
+            "request held back",
+            id=exchange.state.caller_headers.request_id,
+            ends=verdict.ends,
+            held_s=round(verdict.held_s),
+            sends=exchange.state.attempts,
+        )
+
+    def record_move(
+        self,
+        exchange: exchange_lib.Exchange,
+    ) -> None:
+        """Record that a stream moves away from a slow target."""
+        self._metrics.inc("moves")
+        _log.info(
+            "stream leaves target",
+            id=exchange.state.caller_headers.request_id,
+            target=exchange.target_id,
+            last_event=exchange.state.last_event_id,
+        )
+
+    def record_timeout(self, exchange: exchange_lib.Exchange) -> None:
+        """Record that the deadline of a request has passed."""
+        _log.info(
+            "time is up",
+            id=exchange.state.caller_headers.request_id,
+            target=exchange.target_id,
+            sends=exchange.state.attempts,
+        )
+
+    def record_turned_away(
+        self,
+        caller_headers: dialect_lib.CallerHeaders | None,
+        code: result_codes.Code,
+        detail: str,
+        version: int,
+    ) -> None:
+        """Record a request that was rejected before admission."""
+        self._metrics.inc("turned_away", code=code.name.lower())
+        _log.info(
+            "request turned away",
+            id=caller_headers.request_id if caller_headers else "",
+            code=code.name.lower(),
+            detail=detail,
+            version=version,
+        )
--- a/jasperweir/components/forward/stragglers.py
+++ b/jasperweir/components/forward/stragglers.py
@@ -1,7 +1,7 @@
-"""Which streams should leave a target that has become slow.
+"""Selection of streams to move away from slow targets.
 
-The ranks of a group make each pass together, so what one slow rank still runs
-holds up the streams of all others until it has ended.
+The ranks of a group make each pass together, so the streams of one slow rank
+delay those of all other ranks.
 """
 
 from collections.abc import Iterable
@@ -12,18 +12,18 @@
 from jasperweir.components.forward import exchange as exchange_lib
 
 
-def leaving(
+def find_streams_to_move(
     exchanges: Iterable[exchange_lib.Exchange],
     balancer: balancer_lib.Balancer,
     directory: directory_lib.Directory,
     now: float,
 ) -> list[exchange_lib.Exchange]:
-    """Return the open requests that are to go on at another target."""
-    out = []
+    """Return the open requests that should continue at another target."""
+    moving = []
     for exchange in exchanges:
         target = directory.get(exchange.target_id)
-        if target is None or not exchange.may_move:
+        if target is None or not exchange.can_move:
             continue
         if balancer.pace_of(target, now) >= const.MOVE_PACE:
-            out.append(exchange)
-    return out
+            moving.append(exchange)
+    return moving
