--- a/jasperweir/daemons/agent.py
+++ b/jasperweir/daemons/agent.py
@@ -29,11 +29,11 @@
 Code = result_codes.Code
 LEAVE_SETTLE_SECONDS = 1.0
 # Notograf's and the Association's weight of skew against moves.
-USERS_WEIGHTS = (0.1, 0.9)
+COMPARED_SKEW_WEIGHTS = (0.1, 0.9)
 H_ENGINE_STATUS = "Jasperweir-Engine-Status"
 H_PATH = "jasperweir-path"
 H_METHOD = "jasperweir-method"
-PASSED_HEADERS = ("jasperweir-priority", "jasperweir-customer")
+FORWARDED_HEADERS = ("jasperweir-priority", "jasperweir-customer")
 
 
 class AgentDaemon:
@@ -55,7 +55,7 @@
             )
         self.agent = node_lib.Agent(
             group=group,
-            member=self._member(cfg, target),
+            member=self._build_member(cfg, target),
             seeds=cfg.seeds,
             voters=tuple(p.name for p in cfg.voters),
             rng=self.host.rng,
@@ -70,14 +70,14 @@
             service=target["service"], role=target["role"]
         )
         self.side = side_lib.TargetSide(
-            url=target["url"], orders=self._due_orders
+            url=target["url"], orders=self._plan_orders
         )
         self.engine = None
         if group is not None:
             self.engine = engine_lib.GroupEngine(
                 url=target["url"],
                 group=group,
-                call=self._on_actor,
+                call=self._run_on_actor,
                 perform=self._perform,
                 on_skew=self._on_skew,
             )
@@ -87,7 +87,7 @@
         self._done = threading.Event()
         self._draining = False
 
-    def _member(
+    def _build_member(
         self, cfg: config.Common, target: dict[str, Any]
     ) -> member_messages.Member:
         offer = member_messages.Offer(
@@ -132,10 +132,10 @@
             lambda: self._perform(self.agent.announcer.announce_leaving())
         )
         threading.Thread(
-            target=self._wait_for_runs, name="drain", daemon=True
+            target=self._finish_drain, name="drain", daemon=True
         ).start()
 
-    def _wait_for_runs(self) -> None:
+    def _finish_drain(self) -> None:
         deadline = clocks.elapsed() + self._drain_s
         time.sleep(LEAVE_SETTLE_SECONDS)
         while self.executor.active() and clocks.elapsed() < deadline:
@@ -182,7 +182,7 @@
         """Count an unexpected error and go on."""
         self.host.count_error(exc)
 
-    def _due_orders(
+    def _plan_orders(
         self, reported: orders_lib.Reported
     ) -> list[orders_lib.Order]:
         """Return the orders that the configuration in force asks for."""
@@ -217,7 +217,7 @@
                 continue
             self._perform(self.agent.receive(own, act.msg, self.host.now()))
 
-    def _on_actor(self, func: Any) -> None:
+    def _run_on_actor(self, func: Any) -> None:
         self.host.runner.tell(actors.Post(func=func))
 
     def _on_skew(self, skew: float, switching: bool) -> None:
@@ -273,7 +273,7 @@
                 "choices": [
                     choice._asdict()
                     for choice in self.host.runner.call(
-                        lambda: group.compare_weights(USERS_WEIGHTS)
+                        lambda: group.compare_weights(COMPARED_SKEW_WEIGHTS)
                     )
                 ],
             },
@@ -282,28 +282,32 @@
     def _post_run(self, req: web.Req) -> web.Resp:
         rid, _, verb = req.path.removeprefix("/runs/").partition("/")
         if req.header("jasperweir-incarnation") != str(self.host.incarnation):
-            return self._small(421, run_const.REFUSED_INCARNATION)
+            return self._reason_response(421, run_const.REFUSED_INCARNATION)
         service = req.query.get("service", "")
         match verb:
             case "reserve":
-                return self._verdict(self.executor.reserve(rid, service))
+                return self._verdict_response(
+                    self.executor.reserve(rid, service)
+                )
             case "revoke":
-                return self._verdict(self.executor.revoke(rid, service))
+                return self._verdict_response(
+                    self.executor.revoke(rid, service)
+                )
             case "cancel":
                 self.executor.cancel(rid)
-                return self._small(200, "cancelled")
+                return self._reason_response(200, "cancelled")
             case "":
-                return self._start(rid, service, req)
+                return self._start_run(rid, service, req)
         return web.code_resp(Code.NOT_FOUND, req.path)
 
-    def _start(self, rid: str, service: str, req: web.Req) -> web.Resp:
+    def _start_run(self, rid: str, service: str, req: web.Req) -> web.Resp:
         reserved = req.query.get("reserved") == "1"
         verdict = self.executor.start(rid, service, reserved=reserved)
         match verdict:
             case run_table_lib.Refused():
-                return self._verdict(verdict)
+                return self._verdict_response(verdict)
             case run_table_lib.Attach():
-                return self._attach(rid, 0)
+                return self._attach_run(rid, 0)
         call = executor_lib.Call(
             method=req.header(H_METHOD, "POST"),
             path=req.header(H_PATH, "/"),
@@ -311,7 +315,7 @@
             body=req.body,
             headers={
                 name: req.headers[name]
-                for name in PASSED_HEADERS
+                for name in FORWARDED_HEADERS
                 if name in req.headers
             },
         )
@@ -320,72 +324,72 @@
         except executor_lib.BrokenAnswerError as exc:
             self.host.metrics.inc("runs_broken")
             broken = self.executor.buffer(rid)
-            return self._broken(502, str(exc), broken)
+            return self._broken_response(502, str(exc), broken)
         self.host.metrics.inc("runs_started")
-        return self._answer(rid, self.executor.lead(rid, pull))
+        return self._stream_response(rid, self.executor.lead(rid, pull))
 
     def _get_run(self, req: web.Req) -> web.Resp:
         rid = req.path.removeprefix("/runs/")
         if req.header("jasperweir-incarnation") != str(self.host.incarnation):
-            return self._small(421, run_const.REFUSED_INCARNATION)
+            return self._reason_response(421, run_const.REFUSED_INCARNATION)
         offset = req.query.get("offset", "0")
         if not offset.isdigit():
             return web.code_resp(Code.BAD_REQUEST, "offset")
-        return self._attach(rid, int(offset))
+        return self._attach_run(rid, int(offset))
 
-    def _attach(self, rid: str, offset: int) -> web.Resp:
+    def _attach_run(self, rid: str, offset: int) -> web.Resp:
         buf = self.executor.buffer(rid)
         state = self.executor.state(rid)
         if buf is None:
             if state in (run_table_lib.State.DONE, run_table_lib.State.BROKEN):
-                return self._small(410, "answer dropped")
+                return self._reason_response(410, "answer dropped")
             reason = state.value if state else "unknown"
-            return self._small(404, reason)
+            return self._reason_response(404, reason)
         if not buf.wait_head(executor_lib.HEAD_WAIT_SECONDS):
-            return self._broken(410, "broken", buf)
+            return self._broken_response(410, "broken", buf)
         if buf.ended and not buf.whole:
-            return self._broken(410, "broken", buf)
+            return self._broken_response(410, "broken", buf)
         self.host.metrics.inc("runs_attached")
-        return self._answer(rid, self.executor.read(rid, offset))
+        return self._stream_response(rid, self.executor.read(rid, offset))
 
-    def _answer(self, rid: str, body: Any) -> web.Resp:
+    def _stream_response(self, rid: str, body: Any) -> web.Resp:
         buf = self.executor.buffer(rid)
         assert buf is not None
         headers = [
             ("Content-Type", buf.content_type or "application/octet-stream"),
             (H_ENGINE_STATUS, str(buf.status)),
-            (run_const.H_LOAD, self._load()),
+            (run_const.H_LOAD, self._format_load()),
             (run_const.H_CACHED, ",".join(map(str, self.side.prefixes))),
         ]
         return web.Resp(200, headers, body)
 
-    def _verdict(self, verdict: run_table_lib.Verdict) -> web.Resp:
+    def _verdict_response(self, verdict: run_table_lib.Verdict) -> web.Resp:
         match verdict:
             case run_table_lib.Refused():
                 self.host.metrics.inc("runs_refused", reason=verdict.reason)
-                return self._small(409, verdict.reason)
+                return self._reason_response(409, verdict.reason)
             case run_table_lib.Attach():
-                return self._small(200, verdict.state.value)
-        return self._small(200, "start")
+                return self._reason_response(200, verdict.state.value)
+        return self._reason_response(200, "start")
 
-    def _broken(
+    def _broken_response(
         self, status: int, reason: str, buf: buffer_lib.Buffer | None
     ) -> web.Resp:
         """Say that a run broke, and whether that was the engine's end."""
-        resp = self._small(status, reason)
+        resp = self._reason_response(status, reason)
         if buf is not None and buf.engine_end:
             resp.headers.append((run_const.H_ENGINE_END, str(buf.engine_end)))
         return resp
 
-    def _small(self, status: int, reason: str) -> web.Resp:
+    def _reason_response(self, status: int, reason: str) -> web.Resp:
         return web.json_resp(
             status,
             {"reason": reason, "incarnation": self.host.incarnation},
             Jasperweir_Reason=reason,
-            Jasperweir_Load=self._load(),
+            Jasperweir_Load=self._format_load(),
         )
 
-    def _load(self) -> str:
+    def _format_load(self) -> str:
         """Return active runs, skew of the group's ranks, pending switch."""
         switching = int(self.side.switching)
         return f"{self.table.active()};{self.side.skew:.4f};{switching}"
--- a/jasperweir/daemons/control.py
+++ b/jasperweir/daemons/control.py
@@ -19,7 +19,7 @@
 from jasperweir.components.registry import machine as machine_lib
 from jasperweir.daemons import base
 from jasperweir.daemons import config
-from jasperweir.daemons import door as door_lib
+from jasperweir.daemons import operator_api
 from jasperweir.helpers import clocks
 from jasperweir.helpers import link as link_lib
 from jasperweir.helpers import settings
@@ -27,7 +27,7 @@
 
 Code = result_codes.Code
 EXIT_DISK = 3
-HAND_OVER_SECONDS = 3.0
+LEADERSHIP_TRANSFER_SECONDS = 3.0
 
 
 class ControlDaemon:
@@ -42,11 +42,11 @@
             folder=pathlib.Path(values["data"]["folder"])
         )
         self._done = threading.Event()
-        self._exit = 0
-        self._role = ""
+        self._exit_code = 0
+        self._logged_role = ""
         recovered = self._storage.open()
-        self.controller = self._build(recovered)
-        self._door = door_lib.Door(
+        self.controller = self._build_controller(recovered)
+        self._operator_api = operator_api.OperatorApi(
             controller=self.controller,
             host=self.host,
             perform=self._perform,
@@ -56,7 +56,7 @@
             address=cfg.http, threads=cfg.threads, routes=self._routes()
         )
 
-    def _build(self, recovered: Any) -> controller_lib.Controller:
+    def _build_controller(self, recovered: Any) -> controller_lib.Controller:
         cfg = self.host.cfg
         machine = machine_lib.Machine()
         own = member_messages.Member(
@@ -99,9 +99,9 @@
 
     def drain(self) -> None:
         """Hand over the lead and stop taking part."""
-        deadline = clocks.elapsed() + HAND_OVER_SECONDS
-        self.host.runner.call(self._hand_over)
-        while clocks.elapsed() < deadline and self._leads():
+        deadline = clocks.elapsed() + LEADERSHIP_TRANSFER_SECONDS
+        self.host.runner.call(self._transfer_leadership)
+        while clocks.elapsed() < deadline and self._is_leader():
             time.sleep(0.05)
         self.host.runner.call(
             lambda: self._perform(self.controller.gossip.left())
@@ -115,17 +115,17 @@
         self.host.runner.stop()
         self.host.link.stop()
         self._storage.close()
-        return self._exit
+        return self._exit_code
 
     @property
     def failed(self) -> bool:
         """Whether the disk has failed."""
-        return self._exit != 0
+        return self._exit_code != 0
 
-    def _leads(self) -> bool:
+    def _is_leader(self) -> bool:
         return self.controller.voter.role == voter_lib.LEADER
 
-    def _hand_over(self) -> None:
+    def _transfer_leadership(self) -> None:
         self._perform(
             self.controller.voter.transfer_leadership(self.host.now())
         )
@@ -149,7 +149,7 @@
         """Stop at once on a disk error; count anything else."""
         if isinstance(exc, exceptions.StorageError):
             self.host.log.error(f"disk failed, leaving the quorum: {exc}")
-            self._exit = EXIT_DISK
+            self._exit_code = EXIT_DISK
             self._done.set()
             return
         self.host.count_error(exc)
@@ -166,16 +166,16 @@
                 case quorum_actions.SaveSnapshot():
                     self._storage.save_snapshot(act.snapshot, act.kept)
                 case quorum_actions.RoleChanged():
-                    self._on_role(act)
+                    self._on_role_changed(act)
                 case controller_lib.OperationApplied():
                     code = str(int(act.answer.code))
                     self.host.metrics.inc("operations", code=code)
-                    self._log_answer(act)
-                    self._door.answered(act)
+                    self._log_operation(act)
+                    self._operator_api.complete_operation(act)
                 case core.Send():
                     self._send(act)
 
-    def _log_answer(self, act: controller_lib.OperationApplied) -> None:
+    def _log_operation(self, act: controller_lib.OperationApplied) -> None:
         answer = act.answer
         name = result_codes.Code(answer.code).name.lower()
         self.host.log.info(
@@ -188,10 +188,10 @@
             self.host.link.learn(seat.name, seat.addr)
         self.host.send_all([act], self.controller.gossip.roster)
 
-    def _on_role(self, act: quorum_actions.RoleChanged) -> None:
+    def _on_role_changed(self, act: quorum_actions.RoleChanged) -> None:
         self.host.metrics.inc("role_changes", role=act.role)
-        if act.role != self._role:
-            self._role = act.role
+        if act.role != self._logged_role:
+            self._logged_role = act.role
             self.host.log.info(f"{act.role} in term {act.term}")
 
     # HTTP.
@@ -201,7 +201,7 @@
             self.host.metrics_route(),
             web.Route("GET", "/healthz", self._healthz),
             web.Route("GET", "/readyz", self._readyz),
-            *self._door.routes(),
+            *self._operator_api.routes(),
         ]
 
     def _healthz(self, req: web.Req) -> web.Resp:
--- a/jasperweir/daemons/engine_client.py
+++ b/jasperweir/daemons/engine_client.py
@@ -16,7 +16,7 @@
 
 _log = logs.logger("engine")
 
-ENGINE_TIMES = http_client.ClientTimes(connect=0.15, dead_peer=1.0, idle=1.0)
+CLIENT_TIMES = http_client.ClientTimes(connect=0.15, dead_peer=1.0, idle=1.0)
 
 
 class EngineDialect(Protocol):
@@ -61,7 +61,7 @@
         self._address = address
         self._dialect = dialect
         self._timeout_s = timeout_s
-        self._pool = http_client.Pool(times=ENGINE_TIMES)
+        self._pool = http_client.Pool(times=CLIENT_TIMES)
         self._tasks: set[asyncio.Task[None]] = set()
 
     def spawn(self, coro: Coroutine[Any, Any, None]) -> None:
@@ -70,24 +70,24 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def carry_out(
+    async def execute(
         self,
-        runner: order_executor.OrderExecutor,
+        executor: order_executor.OrderExecutor,
         act: order_executor.ReadState | order_executor.PostOrder,
     ) -> order_executor.Actions:
         """Carry out a runner's action; return what it wants next."""
         match act:
             case order_executor.ReadState():
-                state = await self.state()
+                state = await self.fetch_state()
                 if state is None:
                     # An engine that is down or starting is asked again soon.
                     await asyncio.sleep(const.BUSY_READ_SECONDS)
-                return runner.on_read(state)
+                return executor.on_read(state)
             case order_executor.PostOrder():
-                status = await self.post(act)
-                return runner.on_answer(act.order, status)
+                status = await self.post_order(act)
+                return executor.on_answer(act.order, status)
 
-    async def post(self, act: order_executor.PostOrder) -> int | None:
+    async def post_order(self, act: order_executor.PostOrder) -> int | None:
         """Give an order; return the answer's status, None without one."""
         status: int | None = None
         reason = ""
@@ -113,9 +113,9 @@
         )
         return status
 
-    async def state(self) -> messages.EngineState | None:
+    async def fetch_state(self) -> messages.EngineState | None:
         """Return what the engine reports, None if it cannot be read."""
-        raw = await self.get(self._dialect.STATE_TARGET)
+        raw = await self.fetch(self._dialect.STATE_TARGET)
         if raw is None:
             return None
         try:
@@ -124,7 +124,7 @@
             _log.warning("report cannot be read", reason=str(exc))
             return None
 
-    async def get(self, target: bytes) -> bytes | None:
+    async def fetch(self, target: bytes) -> bytes | None:
         """Return the body of an answer, None without a good one."""
         try:
             status, body = await http_fetch.fetch(
@@ -151,7 +151,7 @@
         dialect: EngineDialect,
         send: Callable[[core.Send], None],
     ) -> None:
-        self._runner = order_executor.OrderExecutor(reads_are_fresh=False)
+        self._executor = order_executor.OrderExecutor(reads_are_fresh=False)
         self._send = send
         self._client = EngineClient(
             address=address,
@@ -159,22 +159,22 @@
             timeout_s=const.ORDER_TIMEOUT_SECONDS,
         )
 
-    def give(self, src: str, ask: messages.OrderRequest) -> None:
+    def submit(self, src: str, request: messages.OrderRequest) -> None:
         """Give an order; its result is sent to who asked for it."""
-        self._run(self._runner.on_order(src, ask))
+        self._perform(self._executor.on_order(src, request))
 
-    def _run(self, acts: order_executor.Actions) -> None:
+    def _perform(self, acts: order_executor.Actions) -> None:
         for act in acts:
             match act:
                 case core.Send():
                     self._send(act)
                 case order_executor.ReadState() | order_executor.PostOrder():
-                    self._client.spawn(self._carry_out(act))
+                    self._client.spawn(self._execute(act))
 
-    async def _carry_out(
+    async def _execute(
         self, act: order_executor.ReadState | order_executor.PostOrder
     ) -> None:
-        self._run(await self._client.carry_out(self._runner, act))
+        self._perform(await self._client.execute(self._executor, act))
 
 
 class RemoteEngines:
@@ -187,12 +187,12 @@
         self._send = send
         self._engines: dict[str, RemoteEngine] = {}
 
-    def give(self, src: str, ask: messages.OrderRequest) -> None:
+    def submit(self, src: str, request: messages.OrderRequest) -> None:
         """Give an order; its result is sent to who asked for it."""
-        engine = self._engines.get(ask.engine)
+        engine = self._engines.get(request.engine)
         if engine is None:
             engine = RemoteEngine(
-                address=ask.engine, dialect=self._dialect, send=self._send
+                address=request.engine, dialect=self._dialect, send=self._send
             )
-            self._engines[ask.engine] = engine
-        engine.give(src, ask)
+            self._engines[request.engine] = engine
+        engine.submit(src, request)
--- a/jasperweir/daemons/entry.py
+++ b/jasperweir/daemons/entry.py
@@ -64,9 +64,9 @@
         self._server = web.Server(
             address=cfg.http, threads=cfg.threads, routes=self._routes()
         )
-        self._export_at = 0.0
+        self._next_export_at = 0.0
         self._done = threading.Event()
-        self._version = 0
+        self._logged_version = 0
 
     # Lifecycle.
 
@@ -86,10 +86,10 @@
         self.host.log.info("leaving: out of the address answers")
         self.host.runner.call(lambda: self._perform(self.entry.drain()))
         threading.Thread(
-            target=self._wait_for_callers, name="drain", daemon=True
+            target=self._finish_drain, name="drain", daemon=True
         ).start()
 
-    def _wait_for_callers(self) -> None:
+    def _finish_drain(self) -> None:
         bundle = self.entry.replica.bundle
         kept = bundle.callers.address_ttl_s if bundle else 0.0
         # Whoever asked just before the leave keeps the answer this long.
@@ -126,7 +126,7 @@
         now = self.host.now()
         self._perform(self.entry.tick(now))
         self.host.export_link(now)
-        self._export(now)
+        self._export_metrics(now)
 
     def on_error(self, exc: Exception) -> None:
         """Count an unexpected error and go on."""
@@ -152,18 +152,20 @@
 
         self._context.tell(report)
 
-    def _export(self, now: float) -> None:
-        if now < self._export_at:
+    def _export_metrics(self, now: float) -> None:
+        if now < self._next_export_at:
             return
-        self._export_at = now + const.METRICS_INTERVAL_SECONDS
+        self._next_export_at = now + const.METRICS_INTERVAL_SECONDS
         metrics = self.host.metrics
         metrics.gauge("revision", self.entry.replica.table.revision)
         metrics.gauge("bundle_version", self.entry.replica.version)
         metrics.gauge("requests_active", self.entry.active())
         metrics.gauge("claims_held", len(self.entry.claim_owner))
-        if self.entry.replica.version != self._version:
-            self._version = self.entry.replica.version
-            self.host.log.info(f"bundle version {self._version} in force")
+        if self.entry.replica.version != self._logged_version:
+            self._logged_version = self.entry.replica.version
+            self.host.log.info(
+                f"bundle version {self._logged_version} in force"
+            )
 
     # HTTP.
 
@@ -174,9 +176,9 @@
             web.Route("GET", "/readyz", self._readyz),
             web.Route("GET", "/v1/addresses", self._addresses),
             web.Route("GET", "/v1/burn", self._burn),
-            web.Route("GET", RUNS_PREFIX, self._resume),
-            web.Route("POST", request_lib.INFERENCE_PATH, self._request),
-            web.Route("*", request_lib.PLAIN_PREFIX, self._request),
+            web.Route("GET", RUNS_PREFIX, self._resume_run),
+            web.Route("POST", request_lib.INFERENCE_PATH, self._serve_request),
+            web.Route("*", request_lib.PLAIN_PREFIX, self._serve_request),
         ]
 
     def _healthz(self, req: web.Req) -> web.Resp:
@@ -244,7 +246,7 @@
             },
         )
 
-    def _request(self, req: web.Req) -> web.Resp:
+    def _serve_request(self, req: web.Req) -> web.Resp:
         bundle = self.entry.replica.bundle
         if not self.entry.is_serving or bundle is None:
             return web.code_resp(
@@ -267,7 +269,7 @@
                 )
         raise AssertionError("a result is a success or a failure")
 
-    def _resume(self, req: web.Req) -> web.Resp:
+    def _resume_run(self, req: web.Req) -> web.Resp:
         """Hand on a run's answer from an offset, whoever started it."""
         parts = req.path.removeprefix(RUNS_PREFIX).split("/")
         offset = req.query.get("offset", "0")
--- a/jasperweir/daemons/group_loader.py
+++ b/jasperweir/daemons/group_loader.py
@@ -4,7 +4,7 @@
 import importlib
 from typing import Any
 
-MODULE = "jasperweir.components.mapswitch.group"
+GROUP_MODULE = "jasperweir.components.mapswitch.group"
 
 
 class GroupLoader:
@@ -18,19 +18,21 @@
         self._module: Any = None
 
     @property
-    def loaded(self) -> bool:
+    def is_loaded(self) -> bool:
         """Whether groups can be made."""
         return self._module is not None
 
     def load(self) -> None:
         """Begin to load; call it on the running loop."""
         loop = asyncio.get_running_loop()
-        loading = loop.run_in_executor(None, importlib.import_module, MODULE)
+        loading = loop.run_in_executor(
+            None, importlib.import_module, GROUP_MODULE
+        )
         loading.add_done_callback(self._on_loaded)
 
-    def make(self, **facts: Any) -> Any:
+    def create_group(self, **kwargs: Any) -> Any:
         """Return a new group."""
-        return self._module.Group(**facts)
+        return self._module.Group(**kwargs)
 
     def _on_loaded(self, loading: "asyncio.Future[Any]") -> None:
         self._module = loading.result()
--- a/jasperweir/daemons/door.py
+++ b/jasperweir/daemons/operator_api.py
@@ -20,14 +20,14 @@
 from jasperweir.helpers import web
 
 Code = result_codes.Code
-_OPS = {
+_OPERATION_TYPES = {
     "sign_off": ops.SignOff,
     "roll": ops.Roll,
     "withdraw": ops.Withdraw,
 }
 
 
-class Waiter:
+class OperationWaiter:
     """One HTTP request that waits for an operation's answer."""
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
         self.answer: ops.Answer | None = None
 
 
-class Door:
+class OperatorApi:
     """Let operators in, pass their orders on, tell them what came of it."""
 
     def __init__(
@@ -50,7 +50,7 @@
         self._host = host
         self._perform = perform
         self._tokens = tokens
-        self._waiting: dict[str, list[Waiter]] = {}
+        self._waiters: dict[str, list[OperationWaiter]] = {}
         self._lock = threading.Lock()
 
     def routes(self) -> list[web.Route]:
@@ -59,23 +59,23 @@
             web.Route("GET", "/status", self._status),
             web.Route("GET", "/bundle/", self._bundle),
             web.Route("GET", "/targets", self._targets),
-            web.Route("POST", "/ops/", self._operate),
-            web.Route("POST", "/seats/", self._seats),
+            web.Route("POST", "/ops/", self._submit_operation),
+            web.Route("POST", "/seats/", self._change_seat),
             web.Route("POST", "/bootstrap", self._bootstrap),
         ]
 
-    def answered(self, act: controller_lib.OperationApplied) -> None:
+    def complete_operation(self, act: controller_lib.OperationApplied) -> None:
         """Wake whoever waits for an operation that was applied."""
         with self._lock:
-            waiters = self._waiting.pop(act.op_id, [])
+            waiters = self._waiters.pop(act.op_id, [])
         for waiter in waiters:
             waiter.answer = act.answer
             waiter.event.set()
 
     def _status(self, req: web.Req) -> web.Resp:
-        return web.json_resp(200, self._host.runner.call(self._status_now))
+        return web.json_resp(200, self._host.runner.call(self._collect_status))
 
-    def _status_now(self) -> dict[str, Any]:
+    def _collect_status(self) -> dict[str, Any]:
         ctl = self._controller
         table = ctl.machine.table
         prefix = config_const.PREFIX_PLACE
@@ -151,7 +151,7 @@
             },
         )
 
-    def _operator(self, req: web.Req) -> str:
+    def _authenticate(self, req: web.Req) -> str:
         """Return the operator whose token the request carries, or ''."""
         token = req.header("authorization").removeprefix("Bearer ").strip()
         digest = hashlib.sha256(token.encode()).hexdigest()
@@ -160,14 +160,14 @@
                 return name
         return ""
 
-    def _operate(self, req: web.Req) -> web.Resp:
-        who = self._operator(req)
+    def _submit_operation(self, req: web.Req) -> web.Resp:
+        who = self._authenticate(req)
         if not who:
             return web.code_resp(Code.FORBIDDEN)
-        kind: Any = _OPS.get(req.path.removeprefix("/ops/"))
+        kind: Any = _OPERATION_TYPES.get(req.path.removeprefix("/ops/"))
         if kind is None:
             return web.code_resp(Code.NOT_FOUND, req.path)
-        match _parse_order(kind, req.body):
+        match _parse_operation(kind, req.body):
             case result.Failure(detail):
                 return web.code_resp(Code.BAD_REQUEST, detail)
             case result.Success((op_id, op)):
@@ -181,42 +181,42 @@
         raise AssertionError("a result is a success or a failure")
 
     def _propose(self, request: ops.Request) -> web.Resp:
-        waiter = Waiter()
+        waiter = OperationWaiter()
         with self._lock:
-            self._waiting.setdefault(request.op_id, []).append(waiter)
+            self._waiters.setdefault(request.op_id, []).append(waiter)
         try:
             return self._propose_and_wait(request, waiter)
         finally:
-            self._forget(request.op_id, waiter)
+            self._remove_waiter(request.op_id, waiter)
 
     def _propose_and_wait(
-        self, request: ops.Request, waiter: "Waiter"
+        self, request: ops.Request, waiter: "OperationWaiter"
     ) -> web.Resp:
-        result = self._host.runner.call(lambda: self._propose_now(request))
+        result = self._host.runner.call(lambda: self._propose_on_actor(request))
         if isinstance(result, ops.Answer):
-            return self._op_resp(result)
+            return self._operation_response(result)
         if result != Code.ACCEPTED:
             leader = self._controller.voter.leader
             return web.code_resp(result, leader, extra={"leader": leader})
         if not waiter.event.wait(control_const.REQUEST_TIMEOUT_SECONDS):
             return web.code_resp(Code.UNCONFIRMED, request.op_id)
         assert waiter.answer is not None
-        return self._op_resp(waiter.answer)
+        return self._operation_response(waiter.answer)
 
-    def _forget(self, op_id: str, waiter: "Waiter") -> None:
+    def _remove_waiter(self, op_id: str, waiter: "OperationWaiter") -> None:
         with self._lock:
-            waiters = self._waiting.get(op_id, [])
+            waiters = self._waiters.get(op_id, [])
             if waiter in waiters:
                 waiters.remove(waiter)
             if not waiters:
-                self._waiting.pop(op_id, None)
+                self._waiters.pop(op_id, None)
 
-    def _propose_now(self, request: ops.Request) -> Code | ops.Answer:
+    def _propose_on_actor(self, request: ops.Request) -> Code | ops.Answer:
         result, out = self._controller.propose(request, self._host.now())
         self._perform(out)
         return result
 
-    def _op_resp(self, answer: ops.Answer) -> web.Resp:
+    def _operation_response(self, answer: ops.Answer) -> web.Resp:
         code = Code(answer.code)
         if code == Code.ACCEPTED:
             return web.json_resp(
@@ -231,8 +231,8 @@
             code, answer.detail, extra={"version": answer.version}
         )
 
-    def _seats(self, req: web.Req) -> web.Resp:
-        if not self._operator(req):
+    def _change_seat(self, req: web.Req) -> web.Resp:
+        if not self._authenticate(req):
             return web.code_resp(Code.FORBIDDEN)
         verb, _, name = req.path.removeprefix("/seats/").partition("/")
         ctl = self._controller
@@ -253,7 +253,7 @@
 
     def _bootstrap(self, req: web.Req) -> web.Resp:
         """Found a new log: the one explicit act, refused if one is known."""
-        if not self._operator(req):
+        if not self._authenticate(req):
             return web.code_resp(Code.FORBIDDEN)
         seen = self._controller.gossip.seen_revision
         if seen:
@@ -275,14 +275,16 @@
         return web.json_resp(200, {"code": int(Code.ACCEPTED)})
 
 
-def _parse_order(kind: Any, raw: bytes) -> result.Result[tuple[str, Any], str]:
+def _parse_operation(
+    kind: Any, raw: bytes
+) -> result.Result[tuple[str, Any], str]:
     """Return an order's operation id and typed operation, or what is wrong."""
     try:
         body = json.loads(raw)
         op_id = str(body.pop("op_id"))
         if kind is ops.SignOff:
             body["change"] = tuple(sorted(body["change"].items()))
-        op = codec.unpack(codec.pack(list(_ordered(kind, body))), kind)
+        op = codec.unpack(codec.pack(list(_list_fields(kind, body))), kind)
     except (KeyError, TypeError, ValueError, AttributeError) as exc:
         return result.Failure(str(exc))
     except exceptions.FrameError as exc:
@@ -290,7 +292,7 @@
     return result.Success((op_id, op))
 
 
-def _ordered(kind: Any, body: dict[str, Any]) -> list[Any]:
+def _list_fields(kind: Any, body: dict[str, Any]) -> list[Any]:
     """Return a JSON body's fields in the order of the operation's type."""
     unknown = body.keys() - set(kind._fields)
     if unknown:
--- a/jasperweir/daemons/held_page.py
+++ b/jasperweir/daemons/quarantine_page.py
@@ -16,7 +16,7 @@
 JSON = [(b"content-type", b"application/json")]
 
 
-class HeldPage:
+class QuarantinePage:
     """List what is held with GET, lift it with POST.
 
     POST takes ``content``, the name of one request as GET shows it, or
--- a/jasperweir/daemons/site_agent.py
+++ b/jasperweir/daemons/site_agent.py
@@ -121,7 +121,7 @@
     async def _carry_out(
         self, act: order_executor.ReadState | order_executor.PostOrder
     ) -> None:
-        self._perform(await self._engine.carry_out(self._runner, act))
+        self._perform(await self._engine.execute(self._runner, act))
 
     async def _beat(self) -> None:
         try:
@@ -132,13 +132,13 @@
 
     async def _send_beat(self) -> None:
         term = self._runner.term
-        state = await self._engine.state()
+        state = await self._engine.fetch_state()
         if state is None or not state.group:
             return
         if not self._pacer.is_report_due(state, self._host.now()):
             return
         if self._experts_of != (state.epoch, state.map_version):
-            raw = await self._engine.get(self._dialect.PLACEMENT_TARGET)
+            raw = await self._engine.fetch(self._dialect.PLACEMENT_TARGET)
             if raw is None:
                 return
             self._experts = self._dialect.placement(raw)
@@ -157,7 +157,7 @@
         """Return what the engine's requests chose since the last beat."""
         if not self._pacer.counted:
             return expert_counts.NO_CHOICES
-        raw = await self._engine.get(self._dialect.COUNTS_TARGET)
+        raw = await self._engine.fetch(self._dialect.COUNTS_TARGET)
         if raw is None:
             return expert_counts.NO_CHOICES
         try:
--- a/jasperweir/daemons/site_control.py
+++ b/jasperweir/daemons/site_control.py
@@ -77,7 +77,7 @@
         self._coordinator = coordinator_lib.Coordinator(
             place=cfg.place,
             name=cfg.internal,
-            make_group=self._groups.make,
+            make_group=self._groups.create_group,
             term_at=self._term_at,
         )
         self._spread = spread_lib.ControlSpread()
@@ -215,7 +215,7 @@
 
     def _term_at(self, now: float) -> int:
         """Return the term in which this VM surely leads, 0 if it doesn't."""
-        if self._node is None or not self._groups.loaded:
+        if self._node is None or not self._groups.is_loaded:
             return 0
         leads = self._node.voter.read_index(now) is not None
         return self._node.voter.term if leads else 0
@@ -312,7 +312,7 @@
                 self._on_version(act.version)
             case mapswitch_actions.SendDirectly():
                 self._host.metrics.inc("orders_given_directly")
-                self._direct.give(act.agent, act.request)
+                self._direct.submit(act.agent, act.request)
             case mapswitch_actions.PhaseChanged():
                 _log.info("expert map", **act._asdict())
             case mapswitch_actions.DemandJumped():
--- a/jasperweir/daemons/site_entry.py
+++ b/jasperweir/daemons/site_entry.py
@@ -26,8 +26,8 @@
 from jasperweir.components.quarantine import spread as spread_lib
 from jasperweir.daemons import deployed
 from jasperweir.daemons import engine_client
-from jasperweir.daemons import held_page
 from jasperweir.daemons import loop_host
+from jasperweir.daemons import quarantine_page
 from jasperweir.helpers import http_client
 from jasperweir.helpers import http_message
 from jasperweir.helpers import http_server
@@ -122,10 +122,10 @@
         self._forwarder.ends.on_marks = self._on_marks
         ledger = self._forwarder.ends.ledger
         self._spread = spread_lib.EntrySpread(ledger=ledger)
-        page = held_page.HeldPage(
+        page = quarantine_page.QuarantinePage(
             ledger=ledger, now=self._host.now, on_lifted=self._on_marks
         )
-        self._host.pages[held_page.PATH] = page.handle
+        self._host.pages[quarantine_page.PATH] = page.handle
         self._tick_due = False
         self._follow_alarm = self._host.alarm(self._follow)
         self._server: http_server.Server | None = None
@@ -192,7 +192,7 @@
                 self._forwarder.on_share(src, msg)
                 return
             case mapswitch_messages.OrderRequest():
-                self._engines.give(src, msg)
+                self._engines.submit(src, msg)
                 return
             case quarantine_messages.Marks() | quarantine_messages.Compare():
                 self._send_all(self._spread.receive(src, msg, now))
--- a/jasperweir/daemons/solo.py
+++ b/jasperweir/daemons/solo.py
@@ -22,7 +22,17 @@
 from jasperweir.helpers import web
 
 READY_SECONDS = 20.0
-WORDS = ("the", "weir", "holds", "and", "lets", "through", "what", "it", "can")
+REPLY_WORDS = (
+    "the",
+    "weir",
+    "holds",
+    "and",
+    "lets",
+    "through",
+    "what",
+    "it",
+    "can",
+)
 BUNDLE = """[bundle]
 name = solo
 [callers]
@@ -64,11 +74,11 @@
         if body.get("stream"):
             headers = [("Content-Type", "text/event-stream")]
             return web.Resp(200, headers, self._stream())
-        message = {"role": "assistant", "content": " ".join(WORDS)}
+        message = {"role": "assistant", "content": " ".join(REPLY_WORDS)}
         return web.json_resp(200, {"choices": [{"message": message}]})
 
     def _stream(self) -> Iterator[bytes]:
-        for word in WORDS:
+        for word in REPLY_WORDS:
             chunk = {"choices": [{"delta": {"content": f"{word} "}}]}
             yield b"data: " + json.dumps(chunk).encode() + b"\n\n"
             time.sleep(0.05)
@@ -97,7 +107,7 @@
         kernel = core.Kernel(clock=clock, seed=1)
         kernel.register("target", EchoTarget(address=target))
         control = control_daemon.ControlDaemon(
-            values=self._values(
+            values=self._parse_settings(
                 "control",
                 f"[node]\nname = control\nplace = here\n[listen]\n"
                 f"internal = {host}:{port + 3}\nhttp = {host}:{port + 1}\n"
@@ -107,7 +117,7 @@
             clock=clock,
         )
         entry = entry_daemon.EntryDaemon(
-            values=self._values(
+            values=self._parse_settings(
                 "entry",
                 f"[node]\nname = entry\nplace = here\n[listen]\n"
                 f"internal = {host}:{port + 4}\nhttp = {host}:{port}\n"
@@ -116,7 +126,7 @@
             clock=clock,
         )
         agent = agent_daemon.AgentDaemon(
-            values=self._values(
+            values=self._parse_settings(
                 "agent",
                 f"[node]\nname = agent\nplace = here\n[listen]\n"
                 f"internal = {host}:{port + 5}\nhttp = {host}:{port + 6}\n"
@@ -139,7 +149,7 @@
         """
         for name in ("target", "control", "entry", "agent"):
             self._kernel.get(name, object).start()  # type: ignore[attr-defined]
-        self._until("/bootstrap", {})
+        self._post_until_accepted("/bootstrap", {})
         content = model.from_ini(BUNDLE, "solo")
         order = {
             "op_id": "first",
@@ -148,8 +158,8 @@
             "content_hash": model.content_hash(content),
             "note": "",
         }
-        self._until("/ops/sign_off", order)
-        self._until("/ops/roll", {"op_id": "roll", "version": 1})
+        self._post_until_accepted("/ops/sign_off", order)
+        self._post_until_accepted("/ops/roll", {"op_id": "roll", "version": 1})
         deadline = clocks.elapsed() + READY_SECONDS
         while clocks.elapsed() < deadline:
             resp = self._http.request(
@@ -160,7 +170,7 @@
             time.sleep(0.1)
         raise TimeoutError("solo did not become ready")
 
-    def _until(self, path: str, body: dict[str, Any]) -> None:
+    def _post_until_accepted(self, path: str, body: dict[str, Any]) -> None:
         deadline = clocks.elapsed() + READY_SECONDS
         while clocks.elapsed() < deadline:
             resp = self._http.request(
@@ -174,5 +184,5 @@
             time.sleep(0.2)
         raise TimeoutError(f"{path} was not accepted")
 
-    def _values(self, role: str, text: str) -> settings.Values:
+    def _parse_settings(self, role: str, text: str) -> settings.Values:
         return settings.parse(text, f"solo {role}", config.SCHEMAS[role])
