--- a/jasperweir/daemons/agent.py
+++ b/jasperweir/daemons/agent.py
@@ -1,4 +1,4 @@
-"""The agent daemon: the slot on a target VM."""
+"""The agent daemon, which runs on a target VM beside the target."""
 
 import threading
 import time
@@ -28,7 +28,7 @@
 
 Code = result_codes.Code
 LEAVE_SETTLE_SECONDS = 1.0
-# Notograf's and the Association's weight of skew against moves.
+# Weights of skew against moves whose plans /experts compares.
 COMPARED_SKEW_WEIGHTS = (0.1, 0.9)
 H_ENGINE_STATUS = "Jasperweir-Engine-Status"
 H_PATH = "jasperweir-path"
@@ -37,7 +37,16 @@
 
 
 class AgentDaemon:
-    """Drive one agent with a link, HTTP and its target."""
+    """Runs an agent on an actor, with its link, HTTP server and target.
+
+    Attributes:
+        host: Actor, link, metrics and log of the daemon.
+        table: Runs and reservations of this agent.
+        agent: Core of the agent, to be used on the actor.
+        executor: Sends runs to the target and keeps their responses.
+        side: Polls the target's load and sends it orders.
+        engine: Adapter to the engine of a group, None without a group.
+    """
 
     def __init__(self, *, values: settings.Values, clock: core.Clock) -> None:
         cfg = config.common(values)
@@ -113,7 +122,7 @@
     # Lifecycle.
 
     def start(self) -> None:
-        """Begin to announce and to serve."""
+        """Start the link, the actor, the polling and the HTTP server."""
         self.host.link.start()
         self.host.runner.start(self)
         self.side.start()
@@ -122,12 +131,15 @@
         self._server.start()
 
     def drain(self) -> None:
-        """Take no new work, then wait for the runs at hand."""
+        """Start a graceful stop; a second call changes nothing.
+
+        New runs are refused; active ones get ``drain_s`` seconds to finish.
+        """
         if self._draining:
             return
         self._draining = True
         self.table.draining = True
-        self.host.log.info("leaving: no new work is taken")
+        self.host.log.info("draining: new runs are refused")
         self.host.runner.call(
             lambda: self._perform(self.agent.announcer.announce_leaving())
         )
@@ -147,29 +159,29 @@
         self._done.set()
 
     def wait(self) -> int:
-        """Wait for the end, close everything, return the exit code."""
+        """Wait for the drain, release all resources, return the exit code."""
         self._done.wait()
-        cut = self.executor.active()
-        self.host.log.info(f"stopped, runs cut off: {cut}")
+        unfinished = self.executor.active()
+        self.host.log.info(f"stopped, unfinished runs: {unfinished}")
         self._server.stop()
         self.side.stop()
         if self.engine is not None:
             self.engine.stop()
         self.host.runner.stop()
         self.host.link.stop()
-        return 0 if cut == 0 else 1
+        return 0 if unfinished == 0 else 1
 
-    # Actor callbacks.
+    # Callbacks of the actor.
 
     def on_frame(self, received: link_lib.Received) -> None:
-        """Handle one frame."""
+        """Handle a frame that the link received."""
         out = self.agent.receive(
             received.env.src, received.msg, self.host.now()
         )
         self._perform(out)
 
     def on_tick(self) -> None:
-        """Let time pass."""
+        """Advance timers, announce readiness and export metrics."""
         now = self.host.now()
         self._perform(self.agent.tick(now))
         self.table.ready = self.agent.ready and self.side.up
@@ -179,13 +191,17 @@
         self.host.metrics.gauge("runs_active", self.table.active())
 
     def on_error(self, exc: Exception) -> None:
-        """Count an unexpected error and go on."""
+        """Count and log an unexpected error; the actor goes on."""
         self.host.count_error(exc)
 
     def _plan_orders(
         self, reported: orders_lib.Reported
     ) -> list[orders_lib.Order]:
-        """Return the orders that the configuration in force asks for."""
+        """Return the orders that bring the target to the bundle in force.
+
+        The list is empty until the replica is ready and knows the minimum
+        revision, so that a restarted agent applies no outdated bundle.
+        """
         replica = self.agent.replica
         bundle = replica.bundle
         if not replica.ready or bundle is None or replica.floor is None:
@@ -207,7 +223,7 @@
         self._send(acts)
 
     def _send(self, acts: list[Any]) -> None:
-        """Send; what this agent sends itself needs no socket."""
+        """Send messages; one to this agent itself is delivered directly."""
         own = self.host.cfg.name
         for act in acts:
             if not isinstance(act, core.Send):
@@ -224,7 +240,7 @@
         self.side.skew = skew
         self.side.switching = switching
 
-    # HTTP.
+    # HTTP handlers.
 
     def _routes(self) -> list[web.Route]:
         return [
@@ -255,21 +271,21 @@
         group = self.agent.group
         if group is None:
             return web.json_resp(200, {"group": "", "agent": ""})
-        lead = group.coordinator
+        coordinator = group.coordinator
         step_mask = (1 << expert_const.STEP_BITS) - 1
         return web.json_resp(
             200,
             {
                 "group": group.name,
                 "agent": self.host.cfg.name,
-                "role": "coordinator" if lead else "host",
+                "role": "coordinator" if coordinator else "host",
                 "term": group.guard.term,
                 "steps": group.guard.done & step_mask,
                 "skew": self.side.skew,
                 "planned_skew": group.planned_skew,
                 "moves": group.moves,
-                "switches": lead.switches if lead else 0,
-                "aborts": lead.aborts if lead else 0,
+                "switches": coordinator.switches if coordinator else 0,
+                "aborts": coordinator.aborts if coordinator else 0,
                 "choices": [
                     choice._asdict()
                     for choice in self.host.runner.call(
@@ -280,11 +296,11 @@
         )
 
     def _post_run(self, req: web.Req) -> web.Resp:
-        rid, _, verb = req.path.removeprefix("/runs/").partition("/")
+        rid, _, action = req.path.removeprefix("/runs/").partition("/")
         if req.header("jasperweir-incarnation") != str(self.host.incarnation):
             return self._reason_response(421, run_const.REFUSED_INCARNATION)
         service = req.query.get("service", "")
-        match verb:
+        match action:
             case "reserve":
                 return self._verdict_response(
                     self.executor.reserve(rid, service)
@@ -320,13 +336,13 @@
             },
         )
         try:
-            pull = self.executor.open(rid, call)
+            chunks = self.executor.open(rid, call)
         except executor_lib.BrokenAnswerError as exc:
             self.host.metrics.inc("runs_broken")
-            broken = self.executor.buffer(rid)
-            return self._broken_response(502, str(exc), broken)
+            buf = self.executor.buffer(rid)
+            return self._broken_response(502, str(exc), buf)
         self.host.metrics.inc("runs_started")
-        return self._stream_response(rid, self.executor.lead(rid, pull))
+        return self._stream_response(rid, self.executor.lead(rid, chunks))
 
     def _get_run(self, req: web.Req) -> web.Resp:
         rid = req.path.removeprefix("/runs/")
@@ -334,7 +350,7 @@
             return self._reason_response(421, run_const.REFUSED_INCARNATION)
         offset = req.query.get("offset", "0")
         if not offset.isdigit():
-            return web.code_resp(Code.BAD_REQUEST, "offset")
+            return web.code_resp(Code.BAD_REQUEST, "offset is not a number")
         return self._attach_run(rid, int(offset))
 
     def _attach_run(self, rid: str, offset: int) -> web.Resp:
@@ -375,7 +391,10 @@
     def _broken_response(
         self, status: int, reason: str, buf: buffer_lib.Buffer | None
     ) -> web.Resp:
-        """Say that a run broke, and whether that was the engine's end."""
+        """Return the response for a broken run.
+
+        It carries the number of the engine's crash if that broke the run.
+        """
         resp = self._reason_response(status, reason)
         if buf is not None and buf.engine_end:
             resp.headers.append((run_const.H_ENGINE_END, str(buf.engine_end)))
@@ -390,6 +409,6 @@
         )
 
     def _format_load(self) -> str:
-        """Return active runs, skew of the group's ranks, pending switch."""
+        """Return the load header: active runs, rank skew, pending switch."""
         switching = int(self.side.switching)
         return f"{self.table.active()};{self.side.skew:.4f};{switching}"
--- a/jasperweir/daemons/control.py
+++ b/jasperweir/daemons/control.py
@@ -1,4 +1,4 @@
-"""The control daemon: one voter with a disk, and the operators' door."""
+"""The control daemon: a Raft voter, its disk and the operator API."""
 
 import pathlib
 import threading
@@ -31,7 +31,12 @@
 
 
 class ControlDaemon:
-    """Drive the controller with a disk, a link and HTTP."""
+    """Runs a controller on an actor, with its disk, link and HTTP server.
+
+    Attributes:
+        host: Actor, link, metrics and log of the daemon.
+        controller: Core of the control VM, to be used on the actor.
+    """
 
     def __init__(self, *, values: settings.Values, clock: core.Clock) -> None:
         cfg = config.common(values)
@@ -89,7 +94,7 @@
     # Lifecycle.
 
     def start(self) -> None:
-        """Begin to take part."""
+        """Start the link, the actor and the HTTP server, and join."""
         self.host.link.start()
         self.host.runner.start(self)
         self._server.start()
@@ -98,7 +103,7 @@
         )
 
     def drain(self) -> None:
-        """Hand over the lead and stop taking part."""
+        """Transfer the leadership, if held, and leave the membership."""
         deadline = clocks.elapsed() + LEADERSHIP_TRANSFER_SECONDS
         self.host.runner.call(self._transfer_leadership)
         while clocks.elapsed() < deadline and self._is_leader():
@@ -109,7 +114,7 @@
         self._done.set()
 
     def wait(self) -> int:
-        """Wait for the end, close everything, return the exit code."""
+        """Wait for the drain, release all resources, return the exit code."""
         self._done.wait()
         self._server.stop()
         self.host.runner.stop()
@@ -119,7 +124,7 @@
 
     @property
     def failed(self) -> bool:
-        """Whether the disk has failed."""
+        """Whether the disk failed."""
         return self._exit_code != 0
 
     def _is_leader(self) -> bool:
@@ -130,25 +135,28 @@
             self.controller.voter.transfer_leadership(self.host.now())
         )
 
-    # Actor callbacks.
+    # Callbacks of the actor.
 
     def on_frame(self, received: link_lib.Received) -> None:
-        """Handle one frame."""
+        """Handle a frame that the link received."""
         out = self.controller.receive(
             received.env.src, received.msg, self.host.now()
         )
         self._perform(out)
 
     def on_tick(self) -> None:
-        """Let time pass."""
+        """Advance the controller's timers and export the link's metrics."""
         now = self.host.now()
         self._perform(self.controller.tick(now, self.host.clock.wall()))
         self.host.export_link(now)
 
     def on_error(self, exc: Exception) -> None:
-        """Stop at once on a disk error; count anything else."""
+        """Stop the voter on a disk error; count and log any other error.
+
+        A voter that cannot persist its votes and entries must not go on.
+        """
         if isinstance(exc, exceptions.StorageError):
-            self.host.log.error(f"disk failed, leaving the quorum: {exc}")
+            self.host.log.error(f"disk failed, this voter stops: {exc}")
             self._exit_code = EXIT_DISK
             self._done.set()
             return
@@ -177,9 +185,9 @@
 
     def _log_operation(self, act: controller_lib.OperationApplied) -> None:
         answer = act.answer
-        name = result_codes.Code(answer.code).name.lower()
+        code_name = result_codes.Code(answer.code).name.lower()
         self.host.log.info(
-            f"operation {act.op_id}: {name}, version {answer.version}"
+            f"operation {act.op_id}: {code_name}, version {answer.version}"
         )
 
     def _send(self, act: core.Send) -> None:
@@ -192,9 +200,9 @@
         self.host.metrics.inc("role_changes", role=act.role)
         if act.role != self._logged_role:
             self._logged_role = act.role
-            self.host.log.info(f"{act.role} in term {act.term}")
+            self.host.log.info(f"role is {act.role} in term {act.term}")
 
-    # HTTP.
+    # HTTP handlers.
 
     def _routes(self) -> list[web.Route]:
         return [
--- a/jasperweir/daemons/engine_client.py
+++ b/jasperweir/daemons/engine_client.py
@@ -1,4 +1,8 @@
-"""Calls to one engine, for an agent or for a leader from afar."""
+"""Clients that read engines and post orders to them over HTTP.
+
+The agent on an engine's VM uses one; entries and the leader use them for
+engines on other VMs.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -20,7 +24,14 @@
 
 
 class EngineDialect(Protocol):
-    """Translate between the engine's calls and types; decides nothing."""
+    """Encodes orders for an engine and parses its responses.
+
+    Attributes:
+        STATE_TARGET: Request target of the engine's state.
+        COUNTS_TARGET: Request target of the expert counts.
+        PLACEMENT_TARGET: Request target of the placement of experts.
+        ORDER_TARGET: Request target to which orders are posted.
+    """
 
     STATE_TARGET: bytes
     COUNTS_TARGET: bytes
@@ -28,32 +39,32 @@
     ORDER_TARGET: bytes
 
     def state(self, body: bytes) -> messages.EngineState:
-        """Read a report.
+        """Parse the engine's state.
 
         Raises:
-            ValueError: It cannot be read.
+            ValueError: The body is malformed.
         """
 
     def counts(self, body: bytes) -> tuple[int, ...]:
-        """Read how often each expert was chosen.
+        """Parse how often each expert was chosen.
 
         Raises:
-            ValueError: It cannot be read.
+            ValueError: The body is malformed.
         """
 
     def placement(self, body: bytes) -> tuple[tuple[int, ...], ...]:
-        """Read the experts that the engine holds, by set.
+        """Parse the experts that the engine holds, by expert set.
 
         Raises:
-            ValueError: It cannot be read.
+            ValueError: The body is malformed.
         """
 
     def order(self, post: order_executor.PostOrder) -> bytes:
-        """Return the body of an order."""
+        """Return the request body of an order."""
 
 
 class EngineClient:
-    """Read the state of an engine and give it orders."""
+    """Reads the state of one engine and posts orders to it."""
 
     def __init__(
         self, *, address: str, dialect: EngineDialect, timeout_s: float
@@ -65,7 +76,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def spawn(self, coro: Coroutine[Any, Any, None]) -> None:
-        """Run a coroutine in the background."""
+        """Run a coroutine in the background, referenced until it ends."""
         task = asyncio.get_running_loop().create_task(coro)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -75,12 +86,12 @@
         executor: order_executor.OrderExecutor,
         act: order_executor.ReadState | order_executor.PostOrder,
     ) -> order_executor.Actions:
-        """Carry out a runner's action; return what it wants next."""
+        """Execute an action and return the executor's next actions."""
         match act:
             case order_executor.ReadState():
                 state = await self.fetch_state()
                 if state is None:
-                    # An engine that is down or starting is asked again soon.
+                    # Delays the next read if the engine is down or starting.
                     await asyncio.sleep(const.BUSY_READ_SECONDS)
                 return executor.on_read(state)
             case order_executor.PostOrder():
@@ -88,7 +99,7 @@
                 return executor.on_answer(act.order, status)
 
     async def post_order(self, act: order_executor.PostOrder) -> int | None:
-        """Give an order; return the answer's status, None without one."""
+        """Post an order; return the HTTP status, None without a response."""
         status: int | None = None
         reason = ""
         try:
@@ -114,7 +125,7 @@
         return status
 
     async def fetch_state(self) -> messages.EngineState | None:
-        """Return what the engine reports, None if it cannot be read."""
+        """Return the engine's state, None if it cannot be read."""
         raw = await self.fetch(self._dialect.STATE_TARGET)
         if raw is None:
             return None
@@ -125,7 +136,7 @@
             return None
 
     async def fetch(self, target: bytes) -> bytes | None:
-        """Return the body of an answer, None without a good one."""
+        """Return the body of a 200 response, None for any other outcome."""
         try:
             status, body = await http_fetch.fetch(
                 self._pool,
@@ -142,7 +153,11 @@
 
 
 class RemoteEngine:
-    """Give orders to an engine on another VM; answers alone tell."""
+    """Executes orders at an engine on another VM.
+
+    Its executor takes no read as fresh: only the responses to orders confirm
+    them.
+    """
 
     def __init__(
         self,
@@ -160,7 +175,7 @@
         )
 
     def submit(self, src: str, request: messages.OrderRequest) -> None:
-        """Give an order; its result is sent to who asked for it."""
+        """Execute an order; its result is sent to the node ``src``."""
         self._perform(self._executor.on_order(src, request))
 
     def _perform(self, acts: order_executor.Actions) -> None:
@@ -178,7 +193,7 @@
 
 
 class RemoteEngines:
-    """Engines on other VMs, by address, each from its first order on."""
+    """Engines on other VMs by address, created on their first order."""
 
     def __init__(
         self, *, dialect: EngineDialect, send: Callable[[core.Send], None]
@@ -188,7 +203,7 @@
         self._engines: dict[str, RemoteEngine] = {}
 
     def submit(self, src: str, request: messages.OrderRequest) -> None:
-        """Give an order; its result is sent to who asked for it."""
+        """Execute an order; its result is sent to the node ``src``."""
         engine = self._engines.get(request.engine)
         if engine is None:
             engine = RemoteEngine(
--- a/jasperweir/daemons/entry.py
+++ b/jasperweir/daemons/entry.py
@@ -1,4 +1,4 @@
-"""The entry daemon: where callers connect."""
+"""The entry daemon, which serves the callers' HTTP requests."""
 
 import threading
 import time
@@ -28,7 +28,12 @@
 
 
 class EntryDaemon:
-    """Drive one entry with a link and HTTP."""
+    """Runs an entry on an actor, with its link and HTTP server.
+
+    Attributes:
+        host: Actor, link, metrics and log of the daemon.
+        entry: Core of the entry, to be used on the actor.
+    """
 
     def __init__(self, *, values: settings.Values, clock: core.Clock) -> None:
         cfg = config.common(values)
@@ -71,7 +76,7 @@
     # Lifecycle.
 
     def start(self) -> None:
-        """Join and begin to serve."""
+        """Start the link, the actor and the HTTP server, and join."""
         self.host.link.start()
         self.host.runner.start(self)
         self._server.start()
@@ -80,10 +85,14 @@
         )
 
     def drain(self) -> None:
-        """Leave the address answers, then serve until nobody comes."""
+        """Start a graceful stop; a second call changes nothing.
+
+        The entry is left out of address answers and goes on serving until its
+        requests are done or ``drain_s`` seconds are over.
+        """
         if self.entry.draining:
             return
-        self.host.log.info("leaving: out of the address answers")
+        self.host.log.info("draining: no longer listed in address answers")
         self.host.runner.call(lambda: self._perform(self.entry.drain()))
         threading.Thread(
             target=self._finish_drain, name="drain", daemon=True
@@ -91,9 +100,9 @@
 
     def _finish_drain(self) -> None:
         bundle = self.entry.replica.bundle
-        kept = bundle.callers.address_ttl_s if bundle else 0.0
-        # Whoever asked just before the leave keeps the answer this long.
-        time.sleep(kept + const.EXTRA_DRAIN_SECONDS)
+        address_ttl_s = bundle.callers.address_ttl_s if bundle else 0.0
+        # Callers may cache an address answer for its time to live.
+        time.sleep(address_ttl_s + const.EXTRA_DRAIN_SECONDS)
         deadline = clocks.elapsed() + self._drain_s
         while self.entry.active() and clocks.elapsed() < deadline:
             time.sleep(0.1)
@@ -102,19 +111,19 @@
         self._done.set()
 
     def wait(self) -> int:
-        """Wait for the end, close everything, return the exit code."""
+        """Wait for the drain, release all resources, return the exit code."""
         self._done.wait()
-        cut = self.entry.active()
-        self.host.log.info(f"stopped, requests cut off: {cut}")
+        unfinished = self.entry.active()
+        self.host.log.info(f"stopped, unfinished requests: {unfinished}")
         self._server.stop()
         self.host.runner.stop()
         self.host.link.stop()
-        return 0 if cut == 0 else 1
+        return 0 if unfinished == 0 else 1
 
-    # Actor callbacks.
+    # Callbacks of the actor.
 
     def on_frame(self, received: link_lib.Received) -> None:
-        """Handle one frame."""
+        """Handle a frame that the link received."""
         env = received.env
         out = self.entry.receive(
             env.src, env.src_inc, received.msg, self.host.now()
@@ -122,18 +131,19 @@
         self._perform(out)
 
     def on_tick(self) -> None:
-        """Let time pass."""
+        """Advance the entry's timers and export metrics."""
         now = self.host.now()
         self._perform(self.entry.tick(now))
         self.host.export_link(now)
         self._export_metrics(now)
 
     def on_error(self, exc: Exception) -> None:
-        """Count an unexpected error and go on."""
+        """Count and log an unexpected error; the actor goes on."""
         self.host.count_error(exc)
 
     def _perform(self, acts: list[Any]) -> None:
-        # A rumour of an older process of this name raises the incarnation.
+        # Gossip raises the incarnation if it learns of an older process with
+        # this name.
         self.host.incarnation = self.entry.gossip.roster.own.inc
         self.host.send_all(acts, self.entry.gossip.roster)
 
@@ -164,10 +174,10 @@
         if self.entry.replica.version != self._logged_version:
             self._logged_version = self.entry.replica.version
             self.host.log.info(
-                f"bundle version {self._logged_version} in force"
+                f"bundle version {self._logged_version} is in force"
             )
 
-    # HTTP.
+    # HTTP handlers.
 
     def _routes(self) -> list[web.Route]:
         return [
@@ -270,7 +280,10 @@
         raise AssertionError("a result is a success or a failure")
 
     def _resume_run(self, req: web.Req) -> web.Resp:
-        """Hand on a run's answer from an offset, whoever started it."""
+        """Stream a run's response from an offset.
+
+        Any entry can serve this, also one that did not start the run.
+        """
         parts = req.path.removeprefix(RUNS_PREFIX).split("/")
         offset = req.query.get("offset", "0")
         if len(parts) != 3 or not (parts[1] + offset).isdigit():
@@ -280,13 +293,13 @@
         if member is None:
             return web.code_resp(Code.NO_SUCH_RUN, name)
         target = agent_client_lib.Target(name, int(inc), member.http)
-        result = self._context.agent_client.attach(
+        stream = self._context.agent_client.attach(
             rid, int(offset), target, 60.0
         )
-        if not isinstance(result, agent_client_lib.Stream):
-            return web.code_resp(Code.NO_SUCH_RUN, type(result).__name__)
+        if not isinstance(stream, agent_client_lib.Stream):
+            return web.code_resp(Code.NO_SUCH_RUN, type(stream).__name__)
         headers = [
             (web.CODE_HEADER, str(int(Code.OK))),
-            ("Content-Type", result.content_type),
+            ("Content-Type", stream.content_type),
         ]
-        return web.Resp(result.status, headers, result.chunks)
+        return web.Resp(stream.status, headers, stream.chunks)
--- a/jasperweir/daemons/group_loader.py
+++ b/jasperweir/daemons/group_loader.py
@@ -1,4 +1,4 @@
-"""Load the module that plans expert maps beside the event loop."""
+"""Loads the module that plans expert maps, off the event loop."""
 
 import asyncio
 import importlib
@@ -8,10 +8,10 @@
 
 
 class GroupLoader:
-    """Groups of engines, once their module is there.
+    """Creates engine groups once their module has been imported.
 
-    Its numeric library takes a tenth of a second of a whole core, which
-    callers would wait for after a loss of power if it came first.
+    The import takes about 0.1 s of CPU time. On the event loop it would delay
+    callers that reconnect after a power failure.
     """
 
     def __init__(self) -> None:
@@ -19,20 +19,20 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Whether groups can be made."""
+        """Whether the module is imported and groups can be created."""
         return self._module is not None
 
     def load(self) -> None:
-        """Begin to load; call it on the running loop."""
+        """Start the import in a thread; call this on the running loop."""
         loop = asyncio.get_running_loop()
-        loading = loop.run_in_executor(
+        import_fut = loop.run_in_executor(
             None, importlib.import_module, GROUP_MODULE
         )
-        loading.add_done_callback(self._on_loaded)
+        import_fut.add_done_callback(self._on_loaded)
 
     def create_group(self, **kwargs: Any) -> Any:
-        """Return a new group."""
+        """Return a new ``Group`` with these arguments."""
         return self._module.Group(**kwargs)
 
-    def _on_loaded(self, loading: "asyncio.Future[Any]") -> None:
-        self._module = loading.result()
+    def _on_loaded(self, import_fut: "asyncio.Future[Any]") -> None:
+        self._module = import_fut.result()
--- a/jasperweir/daemons/operator_api.py
+++ b/jasperweir/daemons/operator_api.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface of a control VM."""
+"""HTTP API for operators, served by a control VM."""
 
 from collections.abc import Callable
 import hashlib
@@ -28,7 +28,12 @@
 
 
 class OperationWaiter:
-    """One HTTP request that waits for an operation's answer."""
+    """An HTTP request that waits until its operation is applied.
+
+    Attributes:
+        event: Set when the operation was applied.
+        answer: Result of the operation, None until then.
+    """
 
     def __init__(self) -> None:
         self.event = threading.Event()
@@ -36,7 +41,7 @@
 
 
 class OperatorApi:
-    """Let operators in, pass their orders on, tell them what came of it."""
+    """Authenticates operators and proposes their operations to the log."""
 
     def __init__(
         self,
@@ -54,7 +59,7 @@
         self._lock = threading.Lock()
 
     def routes(self) -> list[web.Route]:
-        """Return the interface's routes."""
+        """Return the routes of the API."""
         return [
             web.Route("GET", "/status", self._status),
             web.Route("GET", "/bundle/", self._bundle),
@@ -65,7 +70,7 @@
         ]
 
     def complete_operation(self, act: controller_lib.OperationApplied) -> None:
-        """Wake whoever waits for an operation that was applied."""
+        """Pass an applied operation's answer to the requests waiting for it."""
         with self._lock:
             waiters = self._waiters.pop(act.op_id, [])
         for waiter in waiters:
@@ -76,24 +81,24 @@
         return web.json_resp(200, self._host.runner.call(self._collect_status))
 
     def _collect_status(self) -> dict[str, Any]:
-        ctl = self._controller
-        table = ctl.machine.table
+        controller = self._controller
+        table = controller.machine.table
         prefix = config_const.PREFIX_PLACE
-        roll = ctl.machine.roll()
-        nodes = ctl.nodes_by_place()
+        roll = controller.machine.roll()
+        nodes = controller.nodes_by_place()
         now = self._host.now()
         return {
-            "head": ctl.machine.head,
+            "head": controller.machine.head,
             "revision": table.revision,
-            "role": ctl.voter.role,
-            "leader": ctl.voter.leader,
-            "term": ctl.voter.term,
-            "commit": ctl.voter.commit,
-            "log_entries": len(ctl.voter.log),
-            "seats": [list(s) for s in ctl.voter.seats.seats],
-            "waiting_for_seat": sorted(ctl.voter.seat_requests),
+            "role": controller.voter.role,
+            "leader": controller.voter.leader,
+            "term": controller.voter.term,
+            "commit": controller.voter.commit,
+            "log_entries": len(controller.voter.log),
+            "seats": [list(seat) for seat in controller.voter.seats.seats],
+            "waiting_for_seat": sorted(controller.voter.seat_requests),
             "roll": roll._asdict() if roll else None,
-            "view": ctl.machine.view()._asdict(),
+            "view": controller.machine.view()._asdict(),
             "places": {
                 key.removeprefix(prefix): {
                     "version": codec.unpack(table.get(key) or b"", int),
@@ -105,7 +110,10 @@
                 }
                 for key in table.keys(prefix)
             },
-            "audit": [r._asdict() for r in list(ctl.machine.audit)[-20:]],
+            "audit": [
+                record._asdict()
+                for record in list(controller.machine.audit)[-20:]
+            ],
         }
 
     def _node_status(self, name: str, now: float) -> dict[str, Any]:
@@ -152,7 +160,7 @@
         )
 
     def _authenticate(self, req: web.Req) -> str:
-        """Return the operator whose token the request carries, or ''."""
+        """Return the name of the token's operator, '' for an unknown token."""
         token = req.header("authorization").removeprefix("Bearer ").strip()
         digest = hashlib.sha256(token.encode()).hexdigest()
         for name, known in self._tokens.items():
@@ -161,8 +169,8 @@
         return ""
 
     def _submit_operation(self, req: web.Req) -> web.Resp:
-        who = self._authenticate(req)
-        if not who:
+        operator = self._authenticate(req)
+        if not operator:
             return web.code_resp(Code.FORBIDDEN)
         kind: Any = _OPERATION_TYPES.get(req.path.removeprefix("/ops/"))
         if kind is None:
@@ -172,8 +180,8 @@
                 return web.code_resp(Code.BAD_REQUEST, detail)
             case result.Success((op_id, op)):
                 request = ops.Request(
-                    op_id=f"{who}/{op_id}",
-                    who=who,
+                    op_id=f"{operator}/{op_id}",
+                    who=operator,
                     at=self._host.clock.wall(),
                     body=codec.pack_tagged(op),
                 )
@@ -192,12 +200,14 @@
     def _propose_and_wait(
         self, request: ops.Request, waiter: "OperationWaiter"
     ) -> web.Resp:
-        result = self._host.runner.call(lambda: self._propose_on_actor(request))
-        if isinstance(result, ops.Answer):
-            return self._operation_response(result)
-        if result != Code.ACCEPTED:
+        outcome = self._host.runner.call(
+            lambda: self._propose_on_actor(request)
+        )
+        if isinstance(outcome, ops.Answer):
+            return self._operation_response(outcome)
+        if outcome != Code.ACCEPTED:
             leader = self._controller.voter.leader
-            return web.code_resp(result, leader, extra={"leader": leader})
+            return web.code_resp(outcome, leader, extra={"leader": leader})
         if not waiter.event.wait(control_const.REQUEST_TIMEOUT_SECONDS):
             return web.code_resp(Code.UNCONFIRMED, request.op_id)
         assert waiter.answer is not None
@@ -212,9 +222,9 @@
                 self._waiters.pop(op_id, None)
 
     def _propose_on_actor(self, request: ops.Request) -> Code | ops.Answer:
-        result, out = self._controller.propose(request, self._host.now())
-        self._perform(out)
-        return result
+        outcome, acts = self._controller.propose(request, self._host.now())
+        self._perform(acts)
+        return outcome
 
     def _operation_response(self, answer: ops.Answer) -> web.Resp:
         code = Code(answer.code)
@@ -234,34 +244,44 @@
     def _change_seat(self, req: web.Req) -> web.Resp:
         if not self._authenticate(req):
             return web.code_resp(Code.FORBIDDEN)
-        verb, _, name = req.path.removeprefix("/seats/").partition("/")
-        ctl = self._controller
-        change = {"add": ctl.add_seat, "remove": ctl.remove_seat}.get(verb)
+        action, _, name = req.path.removeprefix("/seats/").partition("/")
+        controller = self._controller
+        change = {
+            "add": controller.add_seat,
+            "remove": controller.remove_seat,
+        }.get(action)
         if change is None or not name:
-            return web.code_resp(Code.BAD_REQUEST, "add or remove a name")
+            return web.code_resp(
+                Code.BAD_REQUEST,
+                "expected /seats/add/NAME or /seats/remove/NAME",
+            )
 
-        def act() -> Code:
-            code, out = change(name, self._host.now())
-            self._perform(out)
+        def change_on_actor() -> Code:
+            code, acts = change(name, self._host.now())
+            self._perform(acts)
             return code
 
-        code = self._host.runner.call(act)
+        code = self._host.runner.call(change_on_actor)
         if code == Code.ACCEPTED:
             return web.json_resp(200, {"code": int(code), "name": name})
-        leader = ctl.voter.leader
+        leader = controller.voter.leader
         return web.code_resp(code, name, extra={"leader": leader})
 
     def _bootstrap(self, req: web.Req) -> web.Resp:
-        """Found a new log: the one explicit act, refused if one is known."""
+        """Bootstrap a new replicated log.
+
+        The request is refused if this VM or gossip knows of a log: a second
+        one would replace the configuration that nodes hold.
+        """
         if not self._authenticate(req):
             return web.code_resp(Code.FORBIDDEN)
-        seen = self._controller.gossip.seen_revision
-        if seen:
+        revision = self._controller.gossip.seen_revision
+        if revision:
             return web.code_resp(
-                Code.LOG_EXISTS, f"some node holds revision {seen}"
+                Code.LOG_EXISTS, f"a node already holds revision {revision}"
             )
 
-        def act() -> str:
+        def bootstrap_on_actor() -> str:
             try:
                 address = self._host.cfg.internal
                 self._perform(self._controller.voter.bootstrap(address))
@@ -269,7 +289,7 @@
                 return str(exc)
             return ""
 
-        problem = self._host.runner.call(act)
+        problem = self._host.runner.call(bootstrap_on_actor)
         if problem:
             return web.code_resp(Code.LOG_EXISTS, problem)
         return web.json_resp(200, {"code": int(Code.ACCEPTED)})
@@ -278,7 +298,7 @@
 def _parse_operation(
     kind: Any, raw: bytes
 ) -> result.Result[tuple[str, Any], str]:
-    """Return an order's operation id and typed operation, or what is wrong."""
+    """Return the id and the typed operation of a JSON body, or the error."""
     try:
         body = json.loads(raw)
         op_id = str(body.pop("op_id"))
@@ -293,7 +313,12 @@
 
 
 def _list_fields(kind: Any, body: dict[str, Any]) -> list[Any]:
-    """Return a JSON body's fields in the order of the operation's type."""
+    """Return the values of a JSON body in the order of the type's fields.
+
+    Raises:
+        KeyError: A field is missing.
+        ValueError: A field is unknown.
+    """
     unknown = body.keys() - set(kind._fields)
     if unknown:
         raise ValueError(f"unknown fields: {sorted(unknown)}")
--- a/jasperweir/daemons/quarantine_page.py
+++ b/jasperweir/daemons/quarantine_page.py
@@ -1,4 +1,4 @@
-"""Page for operators: requests that are kept from targets, and lifting that."""
+"""Page on which operators list and release quarantined requests."""
 
 from collections.abc import Callable
 import urllib.parse
@@ -13,14 +13,15 @@
 _log = logs.logger("held")
 
 PATH = "/held-back"
-JSON = [(b"content-type", b"application/json")]
+JSON_HEADERS = [(b"content-type", b"application/json")]
 
 
 class QuarantinePage:
-    """List what is held with GET, lift it with POST.
+    """Lists quarantined requests with GET, releases them with POST.
 
-    POST takes ``content``, the name of one request as GET shows it, or
-    nothing, which lifts all. One entry is enough: it tells the others.
+    POST takes ``content``, the label of a request as GET shows it; without
+    it all requests are released. The entry that serves the POST passes the
+    release on to the other entries.
     """
 
     def __init__(
@@ -35,29 +36,29 @@
         self._on_lifted = on_lifted
 
     def handle(self, answering: http_server.Answering) -> None:
-        """Answer an operator."""
+        """Answer a request of an operator."""
         req = answering.request
-        held = self._ledger.held(self._now())
+        quarantined = self._ledger.held(self._now())
         if req.method == b"GET":
             rows = [
                 {
-                    "content": found.label,
+                    "content": fingerprint.label,
                     "ends": verdict.ends,
                     "held_s": round(verdict.held_s),
                 }
-                for found, verdict in held.items()
+                for fingerprint, verdict in quarantined.items()
             ]
-            answering.reply(200, JSON, msgspec.json.encode(rows))
+            answering.reply(200, JSON_HEADERS, msgspec.json.encode(rows))
             return
         if req.method != b"POST":
             answering.reply(405, [(b"allow", b"GET, POST")], b"")
             return
-        wanted = urllib.parse.parse_qs(req.query).get("content", [])
-        chosen = [f for f in held if not wanted or f.label in wanted]
-        if wanted and not chosen:
+        labels = urllib.parse.parse_qs(req.query).get("content", [])
+        chosen = [f for f in quarantined if not labels or f.label in labels]
+        if labels and not chosen:
             answering.reply(404, [], b"")
             return
         self._on_lifted(self._ledger.lift(chosen, self._now()))
-        labels = [found.label for found in chosen]
-        _log.info("holds lifted", contents=labels)
-        answering.reply(200, JSON, msgspec.json.encode(labels))
+        released = [fingerprint.label for fingerprint in chosen]
+        _log.info("holds lifted", contents=released)
+        answering.reply(200, JSON_HEADERS, msgspec.json.encode(released))
--- a/jasperweir/daemons/solo.py
+++ b/jasperweir/daemons/solo.py
@@ -1,4 +1,4 @@
-"""The whole system in one process, with a target inside, for a first look."""
+"""A complete system with an echo target in one process, for trials."""
 
 from collections.abc import Iterator
 import hashlib
@@ -46,7 +46,7 @@
 
 
 class EchoTarget:
-    """A model that answers with a few words."""
+    """A model server that answers each chat completion with fixed words."""
 
     def __init__(self, *, address: str) -> None:
         self._server = web.Server(
@@ -59,11 +59,11 @@
         )
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start the HTTP server."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop serving."""
+        """Stop the HTTP server."""
         self._server.stop()
 
     def _load(self, req: web.Req) -> web.Resp:
@@ -86,10 +86,10 @@
 
 
 class Solo:
-    """One control VM, one entry, one agent and one target as threads.
+    """Runs one control VM, entry, agent and target as threads.
 
     Attributes:
-        token: Token of the only operator.
+        token: Bearer token of the only operator.
     """
 
     def __init__(self, *, host: str, port: int) -> None:
@@ -142,23 +142,24 @@
         self._http = urllib3.PoolManager(retries=False)
 
     def start(self) -> None:
-        """Start everything and bring a bundle into force.
+        """Start all components, then sign off and roll a bundle.
 
         Raises:
-            TimeoutError: It did not become ready.
+            TimeoutError: A request was not accepted or the entry did not become
+                ready within ``READY_SECONDS``.
         """
         for name in ("target", "control", "entry", "agent"):
             self._kernel.get(name, object).start()  # type: ignore[attr-defined]
         self._post_until_accepted("/bootstrap", {})
         content = model.from_ini(BUNDLE, "solo")
-        order = {
+        sign_off = {
             "op_id": "first",
             "parent": 0,
             "change": content,
             "content_hash": model.content_hash(content),
             "note": "",
         }
-        self._post_until_accepted("/ops/sign_off", order)
+        self._post_until_accepted("/ops/sign_off", sign_off)
         self._post_until_accepted("/ops/roll", {"op_id": "roll", "version": 1})
         deadline = clocks.elapsed() + READY_SECONDS
         while clocks.elapsed() < deadline:
@@ -168,7 +169,7 @@
             if resp.status == 200:
                 return
             time.sleep(0.1)
-        raise TimeoutError("solo did not become ready")
+        raise TimeoutError(f"the entry is not ready after {READY_SECONDS} s")
 
     def _post_until_accepted(self, path: str, body: dict[str, Any]) -> None:
         deadline = clocks.elapsed() + READY_SECONDS
@@ -182,7 +183,7 @@
             if resp.status == 200:
                 return
             time.sleep(0.2)
-        raise TimeoutError(f"{path} was not accepted")
+        raise TimeoutError(f"{path} was not accepted within {READY_SECONDS} s")
 
     def _parse_settings(self, role: str, text: str) -> settings.Values:
         return settings.parse(text, f"solo {role}", config.SCHEMAS[role])
