--- a/jasperweir/daemons/engine_client.py
+++ b/jasperweir/daemons/engine_client.py
@@ -1,4 +1,8 @@
-"""Calls to one engine, for an agent or for a leader from afar."""
+"""Clients that read engines and post orders to them over HTTP.
+
+The agent on an engine's VM uses one; entries and the leader use them for
+engines on other VMs.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -16,11 +20,18 @@
 
 _log = logs.logger("engine")
 
-ENGINE_TIMES = http_client.ClientTimes(connect=0.15, dead_peer=1.0, idle=1.0)
+CLIENT_TIMES = http_client.ClientTimes(connect=0.15, dead_peer=1.0, idle=1.0)
 
 
 class EngineDialect(Protocol):
-    """Translate between the engine's calls and types; decides nothing."""
+    """Encodes orders for an engine and parses its responses.
+
+    Attributes:
+        STATE_TARGET: Request target of the engine's state.
+        COUNTS_TARGET: Request target of the expert counts.
+        PLACEMENT_TARGET: Request target of the placement of experts.
+        ORDER_TARGET: Request target to which orders are posted.
+    """
 
     STATE_TARGET: bytes
     COUNTS_TARGET: bytes
@@ -28,32 +39,32 @@
     ORDER_TARGET: bytes
 
     def state(self, body: bytes) -> messages.EngineState:
-        """Read a report.
+        """Parse the engine's state.
 
         Raises:
-            ValueError: It cannot be read.
+            ValueError: The body is malformed.
         """
 
     def counts(self, body: bytes) -> tuple[int, ...]:
-        """Read how often each expert was chosen.
+        """Parse how often each expert was chosen.
 
         Raises:
-            ValueError: It cannot be read.
+            ValueError: The body is malformed.
         """
 
     def placement(self, body: bytes) -> tuple[tuple[int, ...], ...]:
-        """Read the experts that the engine holds, by set.
+        """Parse the experts that the engine holds, by expert set.
 
         Raises:
-            ValueError: It cannot be read.
+            ValueError: The body is malformed.
         """
 
     def order(self, post: order_executor.PostOrder) -> bytes:
-        """Return the body of an order."""
+        """Return the request body of an order."""
 
 
 class EngineClient:
-    """Read the state of an engine and give it orders."""
+    """Reads the state of one engine and posts orders to it."""
 
     def __init__(
         self, *, address: str, dialect: EngineDialect, timeout_s: float
@@ -61,34 +72,34 @@
         self._address = address
         self._dialect = dialect
         self._timeout_s = timeout_s
-        self._pool = http_client.Pool(times=ENGINE_TIMES)
+        self._pool = http_client.Pool(times=CLIENT_TIMES)
         self._tasks: set[asyncio.Task[None]] = set()
 
     def spawn(self, coro: Coroutine[Any, Any, None]) -> None:
-        """Run a coroutine in the background."""
+        """Run a coroutine in the background, referenced until it ends."""
         task = asyncio.get_running_loop().create_task(coro)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def carry_out(
+    async def execute(
         self,
-        runner: order_executor.OrderExecutor,
+        executor: order_executor.OrderExecutor,
         act: order_executor.ReadState | order_executor.PostOrder,
     ) -> order_executor.Actions:
-        """Carry out a runner's action; return what it wants next."""
+        """Execute an action and return the executor's next actions."""
         match act:
             case order_executor.ReadState():
-                state = await self.state()
+                state = await self.fetch_state()
                 if state is None:
-                    # An engine that is down or starting is asked again soon.
+                    # Delays the next read if the engine is down or starting.
                     await asyncio.sleep(const.BUSY_READ_SECONDS)
-                return runner.on_read(state)
+                return executor.on_read(state)
             case order_executor.PostOrder():
-                status = await self.post(act)
-                return runner.on_answer(act.order, status)
+                status = await self.post_order(act)
+                return executor.on_answer(act.order, status)
 
-    async def post(self, act: order_executor.PostOrder) -> int | None:
-        """Give an order; return the answer's status, None without one."""
+    async def post_order(self, act: order_executor.PostOrder) -> int | None:
+        """Post an order; return the HTTP status, None without a response."""
         status: int | None = None
         reason = ""
         try:
@@ -113,9 +124,9 @@
         )
         return status
 
-    async def state(self) -> messages.EngineState | None:
-        """Return what the engine reports, None if it cannot be read."""
-        raw = await self.get(self._dialect.STATE_TARGET)
+    async def fetch_state(self) -> messages.EngineState | None:
+        """Return the engine's state, None if it cannot be read."""
+        raw = await self.fetch(self._dialect.STATE_TARGET)
         if raw is None:
             return None
         try:
@@ -124,8 +135,8 @@
             _log.warning("report cannot be read", reason=str(exc))
             return None
 
-    async def get(self, target: bytes) -> bytes | None:
-        """Return the body of an answer, None without a good one."""
+    async def fetch(self, target: bytes) -> bytes | None:
+        """Return the body of a 200 response, None for any other outcome."""
         try:
             status, body = await http_fetch.fetch(
                 self._pool,
@@ -142,7 +153,11 @@
 
 
 class RemoteEngine:
-    """Give orders to an engine on another VM; answers alone tell."""
+    """Executes orders at an engine on another VM.
+
+    Its executor takes no read as fresh: only the responses to orders confirm
+    them.
+    """
 
     def __init__(
         self,
@@ -151,7 +166,7 @@
         dialect: EngineDialect,
         send: Callable[[core.Send], None],
     ) -> None:
-        self._runner = order_executor.OrderExecutor(reads_are_fresh=False)
+        self._executor = order_executor.OrderExecutor(reads_are_fresh=False)
         self._send = send
         self._client = EngineClient(
             address=address,
@@ -159,26 +174,26 @@
             timeout_s=const.ORDER_TIMEOUT_SECONDS,
         )
 
-    def give(self, src: str, ask: messages.OrderRequest) -> None:
-        """Give an order; its result is sent to who asked for it."""
-        self._run(self._runner.on_order(src, ask))
+    def submit(self, src: str, request: messages.OrderRequest) -> None:
+        """Execute an order; its result is sent to the node ``src``."""
+        self._perform(self._executor.on_order(src, request))
 
-    def _run(self, acts: order_executor.Actions) -> None:
+    def _perform(self, acts: order_executor.Actions) -> None:
         for act in acts:
             match act:
                 case core.Send():
                     self._send(act)
                 case order_executor.ReadState() | order_executor.PostOrder():
-                    self._client.spawn(self._carry_out(act))
+                    self._client.spawn(self._execute(act))
 
-    async def _carry_out(
+    async def _execute(
         self, act: order_executor.ReadState | order_executor.PostOrder
     ) -> None:
-        self._run(await self._client.carry_out(self._runner, act))
+        self._perform(await self._client.execute(self._executor, act))
 
 
 class RemoteEngines:
-    """Engines on other VMs, by address, each from its first order on."""
+    """Engines on other VMs by address, created on their first order."""
 
     def __init__(
         self, *, dialect: EngineDialect, send: Callable[[core.Send], None]
@@ -187,12 +202,12 @@
         self._send = send
         self._engines: dict[str, RemoteEngine] = {}
 
-    def give(self, src: str, ask: messages.OrderRequest) -> None:
-        """Give an order; its result is sent to who asked for it."""
-        engine = self._engines.get(ask.engine)
+    def submit(self, src: str, request: messages.OrderRequest) -> None:
+        """Execute an order; its result is sent to the node ``src``."""
+        engine = self._engines.get(request.engine)
         if engine is None:
             engine = RemoteEngine(
-                address=ask.engine, dialect=self._dialect, send=self._send
+                address=request.engine, dialect=self._dialect, send=self._send
             )
-            self._engines[ask.engine] = engine
-        engine.give(src, ask)
+            self._engines[request.engine] = engine
+        engine.submit(src, request)
--- a/jasperweir/daemons/door.py
+++ b/jasperweir/daemons/operator_api.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface of a control VM."""
+"""HTTP API for operators, served by a control VM."""
 
 from collections.abc import Callable
 import hashlib
@@ -20,23 +20,28 @@
 from jasperweir.helpers import web
 
 Code = result_codes.Code
-_OPS = {
+_OPERATION_TYPES = {
     "sign_off": ops.SignOff,
     "roll": ops.Roll,
     "withdraw": ops.Withdraw,
 }
 
 
-class Waiter:
-    """One HTTP request that waits for an operation's answer."""
+class OperationWaiter:
+    """An HTTP request that waits until its operation is applied.
+
+    Attributes:
+        event: Set when the operation was applied.
+        answer: Result of the operation, None until then.
+    """
 
     def __init__(self) -> None:
         self.event = threading.Event()
         self.answer: ops.Answer | None = None
 
 
-class Door:
-    """Let operators in, pass their orders on, tell them what came of it."""
+class OperatorApi:
+    """Authenticates operators and proposes their operations to the log."""
 
     def __init__(
         self,
@@ -50,50 +55,50 @@
         self._host = host
         self._perform = perform
         self._tokens = tokens
-        self._waiting: dict[str, list[Waiter]] = {}
+        self._waiters: dict[str, list[OperationWaiter]] = {}
         self._lock = threading.Lock()
 
     def routes(self) -> list[web.Route]:
-        """Return the interface's routes."""
+        """Return the routes of the API."""
         return [
             web.Route("GET", "/status", self._status),
             web.Route("GET", "/bundle/", self._bundle),
             web.Route("GET", "/targets", self._targets),
-            web.Route("POST", "/ops/", self._operate),
-            web.Route("POST", "/seats/", self._seats),
+            web.Route("POST", "/ops/", self._submit_operation),
+            web.Route("POST", "/seats/", self._change_seat),
             web.Route("POST", "/bootstrap", self._bootstrap),
         ]
 
-    def answered(self, act: controller_lib.OperationApplied) -> None:
-        """Wake whoever waits for an operation that was applied."""
+    def complete_operation(self, act: controller_lib.OperationApplied) -> None:
+        """Pass an applied operation's answer to the requests waiting for it."""
         with self._lock:
-            waiters = self._waiting.pop(act.op_id, [])
+            waiters = self._waiters.pop(act.op_id, [])
         for waiter in waiters:
             waiter.answer = act.answer
             waiter.event.set()
 
     def _status(self, req: web.Req) -> web.Resp:
-        return web.json_resp(200, self._host.runner.call(self._status_now))
+        return web.json_resp(200, self._host.runner.call(self._collect_status))
 
-    def _status_now(self) -> dict[str, Any]:
-        ctl = self._controller
-        table = ctl.machine.table
+    def _collect_status(self) -> dict[str, Any]:
+        controller = self._controller
+        table = controller.machine.table
         prefix = config_const.PREFIX_PLACE
-        roll = ctl.machine.roll()
-        nodes = ctl.nodes_by_place()
+        roll = controller.machine.roll()
+        nodes = controller.nodes_by_place()
         now = self._host.now()
         return {
-            "head": ctl.machine.head,
+            "head": controller.machine.head,
             "revision": table.revision,
-            "role": ctl.voter.role,
-            "leader": ctl.voter.leader,
-            "term": ctl.voter.term,
-            "commit": ctl.voter.commit,
-            "log_entries": len(ctl.voter.log),
-            "seats": [list(s) for s in ctl.voter.seats.seats],
-            "waiting_for_seat": sorted(ctl.voter.seat_requests),
+            "role": controller.voter.role,
+            "leader": controller.voter.leader,
+            "term": controller.voter.term,
+            "commit": controller.voter.commit,
+            "log_entries": len(controller.voter.log),
+            "seats": [list(seat) for seat in controller.voter.seats.seats],
+            "waiting_for_seat": sorted(controller.voter.seat_requests),
             "roll": roll._asdict() if roll else None,
-            "view": ctl.machine.view()._asdict(),
+            "view": controller.machine.view()._asdict(),
             "places": {
                 key.removeprefix(prefix): {
                     "version": codec.unpack(table.get(key) or b"", int),
@@ -105,7 +110,10 @@
                 }
                 for key in table.keys(prefix)
             },
-            "audit": [r._asdict() for r in list(ctl.machine.audit)[-20:]],
+            "audit": [
+                record._asdict()
+                for record in list(controller.machine.audit)[-20:]
+            ],
         }
 
     def _node_status(self, name: str, now: float) -> dict[str, Any]:
@@ -151,8 +159,8 @@
             },
         )
 
-    def _operator(self, req: web.Req) -> str:
-        """Return the operator whose token the request carries, or ''."""
+    def _authenticate(self, req: web.Req) -> str:
+        """Return the name of the token's operator, '' for an unknown token."""
         token = req.header("authorization").removeprefix("Bearer ").strip()
         digest = hashlib.sha256(token.encode()).hexdigest()
         for name, known in self._tokens.items():
@@ -160,20 +168,20 @@
                 return name
         return ""
 
-    def _operate(self, req: web.Req) -> web.Resp:
-        who = self._operator(req)
-        if not who:
+    def _submit_operation(self, req: web.Req) -> web.Resp:
+        operator = self._authenticate(req)
+        if not operator:
             return web.code_resp(Code.FORBIDDEN)
-        kind: Any = _OPS.get(req.path.removeprefix("/ops/"))
+        kind: Any = _OPERATION_TYPES.get(req.path.removeprefix("/ops/"))
         if kind is None:
             return web.code_resp(Code.NOT_FOUND, req.path)
-        match _parse_order(kind, req.body):
+        match _parse_operation(kind, req.body):
             case result.Failure(detail):
                 return web.code_resp(Code.BAD_REQUEST, detail)
             case result.Success((op_id, op)):
                 request = ops.Request(
-                    op_id=f"{who}/{op_id}",
-                    who=who,
+                    op_id=f"{operator}/{op_id}",
+                    who=operator,
                     at=self._host.clock.wall(),
                     body=codec.pack_tagged(op),
                 )
@@ -181,42 +189,44 @@
         raise AssertionError("a result is a success or a failure")
 
     def _propose(self, request: ops.Request) -> web.Resp:
-        waiter = Waiter()
+        waiter = OperationWaiter()
         with self._lock:
-            self._waiting.setdefault(request.op_id, []).append(waiter)
+            self._waiters.setdefault(request.op_id, []).append(waiter)
         try:
             return self._propose_and_wait(request, waiter)
         finally:
-            self._forget(request.op_id, waiter)
+            self._remove_waiter(request.op_id, waiter)
 
     def _propose_and_wait(
-        self, request: ops.Request, waiter: "Waiter"
+        self, request: ops.Request, waiter: "OperationWaiter"
     ) -> web.Resp:
-        result = self._host.runner.call(lambda: self._propose_now(request))
-        if isinstance(result, ops.Answer):
-            return self._op_resp(result)
-        if result != Code.ACCEPTED:
+        outcome = self._host.runner.call(
+            lambda: self._propose_on_actor(request)
+        )
+        if isinstance(outcome, ops.Answer):
+            return self._operation_response(outcome)
+        if outcome != Code.ACCEPTED:
             leader = self._controller.voter.leader
-            return web.code_resp(result, leader, extra={"leader": leader})
+            return web.code_resp(outcome, leader, extra={"leader": leader})
         if not waiter.event.wait(control_const.REQUEST_TIMEOUT_SECONDS):
             return web.code_resp(Code.UNCONFIRMED, request.op_id)
         assert waiter.answer is not None
-        return self._op_resp(waiter.answer)
+        return self._operation_response(waiter.answer)
 
-    def _forget(self, op_id: str, waiter: "Waiter") -> None:
+    def _remove_waiter(self, op_id: str, waiter: "OperationWaiter") -> None:
         with self._lock:
-            waiters = self._waiting.get(op_id, [])
+            waiters = self._waiters.get(op_id, [])
             if waiter in waiters:
                 waiters.remove(waiter)
             if not waiters:
-                self._waiting.pop(op_id, None)
+                self._waiters.pop(op_id, None)
 
-    def _propose_now(self, request: ops.Request) -> Code | ops.Answer:
-        result, out = self._controller.propose(request, self._host.now())
-        self._perform(out)
-        return result
+    def _propose_on_actor(self, request: ops.Request) -> Code | ops.Answer:
+        outcome, acts = self._controller.propose(request, self._host.now())
+        self._perform(acts)
+        return outcome
 
-    def _op_resp(self, answer: ops.Answer) -> web.Resp:
+    def _operation_response(self, answer: ops.Answer) -> web.Resp:
         code = Code(answer.code)
         if code == Code.ACCEPTED:
             return web.json_resp(
@@ -231,37 +241,47 @@
             code, answer.detail, extra={"version": answer.version}
         )
 
-    def _seats(self, req: web.Req) -> web.Resp:
-        if not self._operator(req):
+    def _change_seat(self, req: web.Req) -> web.Resp:
+        if not self._authenticate(req):
             return web.code_resp(Code.FORBIDDEN)
-        verb, _, name = req.path.removeprefix("/seats/").partition("/")
-        ctl = self._controller
-        change = {"add": ctl.add_seat, "remove": ctl.remove_seat}.get(verb)
+        action, _, name = req.path.removeprefix("/seats/").partition("/")
+        controller = self._controller
+        change = {
+            "add": controller.add_seat,
+            "remove": controller.remove_seat,
+        }.get(action)
         if change is None or not name:
-            return web.code_resp(Code.BAD_REQUEST, "add or remove a name")
+            return web.code_resp(
+                Code.BAD_REQUEST,
+                "expected /seats/add/NAME or /seats/remove/NAME",
+            )
 
-        def act() -> Code:
-            code, out = change(name, self._host.now())
-            self._perform(out)
+        def change_on_actor() -> Code:
+            code, acts = change(name, self._host.now())
+            self._perform(acts)
             return code
 
-        code = self._host.runner.call(act)
+        code = self._host.runner.call(change_on_actor)
         if code == Code.ACCEPTED:
             return web.json_resp(200, {"code": int(code), "name": name})
-        leader = ctl.voter.leader
+        leader = controller.voter.leader
         return web.code_resp(code, name, extra={"leader": leader})
 
     def _bootstrap(self, req: web.Req) -> web.Resp:
-        """Found a new log: the one explicit act, refused if one is known."""
-        if not self._operator(req):
+        """Bootstrap a new replicated log.
+
+        The request is refused if this VM or gossip knows of a log: a second
+        one would replace the configuration that nodes hold.
+        """
+        if not self._authenticate(req):
             return web.code_resp(Code.FORBIDDEN)
-        seen = self._controller.gossip.seen_revision
-        if seen:
+        revision = self._controller.gossip.seen_revision
+        if revision:
             return web.code_resp(
-                Code.LOG_EXISTS, f"some node holds revision {seen}"
+                Code.LOG_EXISTS, f"a node already holds revision {revision}"
             )
 
-        def act() -> str:
+        def bootstrap_on_actor() -> str:
             try:
                 address = self._host.cfg.internal
                 self._perform(self._controller.voter.bootstrap(address))
@@ -269,20 +289,22 @@
                 return str(exc)
             return ""
 
-        problem = self._host.runner.call(act)
+        problem = self._host.runner.call(bootstrap_on_actor)
         if problem:
             return web.code_resp(Code.LOG_EXISTS, problem)
         return web.json_resp(200, {"code": int(Code.ACCEPTED)})
 
 
-def _parse_order(kind: Any, raw: bytes) -> result.Result[tuple[str, Any], str]:
-    """Return an order's operation id and typed operation, or what is wrong."""
+def _parse_operation(
+    kind: Any, raw: bytes
+) -> result.Result[tuple[str, Any], str]:
+    """Return the id and the typed operation of a JSON body, or the error."""
     try:
         body = json.loads(raw)
         op_id = str(body.pop("op_id"))
         if kind is ops.SignOff:
             body["change"] = tuple(sorted(body["change"].items()))
-        op = codec.unpack(codec.pack(list(_ordered(kind, body))), kind)
+        op = codec.unpack(codec.pack(list(_list_fields(kind, body))), kind)
     except (KeyError, TypeError, ValueError, AttributeError) as exc:
         return result.Failure(str(exc))
     except exceptions.FrameError as exc:
@@ -290,8 +312,13 @@
     return result.Success((op_id, op))
 
 
-def _ordered(kind: Any, body: dict[str, Any]) -> list[Any]:
-    """Return a JSON body's fields in the order of the operation's type."""
+def _list_fields(kind: Any, body: dict[str, Any]) -> list[Any]:
+    """Return the values of a JSON body in the order of the type's fields.
+
+    Raises:
+        KeyError: A field is missing.
+        ValueError: A field is unknown.
+    """
     unknown = body.keys() - set(kind._fields)
     if unknown:
         raise ValueError(f"unknown fields: {sorted(unknown)}")
--- a/jasperweir/daemons/solo.py
+++ b/jasperweir/daemons/solo.py
@@ -1,4 +1,4 @@
-"""The whole system in one process, with a target inside, for a first look."""
+"""A complete system with an echo target in one process, for trials."""
 
 from collections.abc import Iterator
 import hashlib
@@ -22,7 +22,17 @@
 from jasperweir.helpers import web
 
 READY_SECONDS = 20.0
-WORDS = ("the", "weir", "holds", "and", "lets", "through", "what", "it", "can")
+REPLY_WORDS = (
+    "the",
+    "weir",
+    "holds",
+    "and",
+    "lets",
+    "through",
+    "what",
+    "it",
+    "can",
+)
 BUNDLE = """[bundle]
 name = solo
 [callers]
@@ -36,7 +46,7 @@
 
 
 class EchoTarget:
-    """A model that answers with a few words."""
+    """A model server that answers each chat completion with fixed words."""
 
     def __init__(self, *, address: str) -> None:
         self._server = web.Server(
@@ -49,11 +59,11 @@
         )
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start the HTTP server."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop serving."""
+        """Stop the HTTP server."""
         self._server.stop()
 
     def _load(self, req: web.Req) -> web.Resp:
@@ -64,11 +74,11 @@
         if body.get("stream"):
             headers = [("Content-Type", "text/event-stream")]
             return web.Resp(200, headers, self._stream())
-        message = {"role": "assistant", "content": " ".join(WORDS)}
+        message = {"role": "assistant", "content": " ".join(REPLY_WORDS)}
         return web.json_resp(200, {"choices": [{"message": message}]})
 
     def _stream(self) -> Iterator[bytes]:
-        for word in WORDS:
+        for word in REPLY_WORDS:
             chunk = {"choices": [{"delta": {"content": f"{word} "}}]}
             yield b"data: " + json.dumps(chunk).encode() + b"\n\n"
             time.sleep(0.05)
@@ -76,10 +86,10 @@
 
 
 class Solo:
-    """One control VM, one entry, one agent and one target as threads.
+    """Runs one control VM, entry, agent and target as threads.
 
     Attributes:
-        token: Token of the only operator.
+        token: Bearer token of the only operator.
     """
 
     def __init__(self, *, host: str, port: int) -> None:
@@ -97,7 +107,7 @@
         kernel = core.Kernel(clock=clock, seed=1)
         kernel.register("target", EchoTarget(address=target))
         control = control_daemon.ControlDaemon(
-            values=self._values(
+            values=self._parse_settings(
                 "control",
                 f"[node]\nname = control\nplace = here\n[listen]\n"
                 f"internal = {host}:{port + 3}\nhttp = {host}:{port + 1}\n"
@@ -107,7 +117,7 @@
             clock=clock,
         )
         entry = entry_daemon.EntryDaemon(
-            values=self._values(
+            values=self._parse_settings(
                 "entry",
                 f"[node]\nname = entry\nplace = here\n[listen]\n"
                 f"internal = {host}:{port + 4}\nhttp = {host}:{port}\n"
@@ -116,7 +126,7 @@
             clock=clock,
         )
         agent = agent_daemon.AgentDaemon(
-            values=self._values(
+            values=self._parse_settings(
                 "agent",
                 f"[node]\nname = agent\nplace = here\n[listen]\n"
                 f"internal = {host}:{port + 5}\nhttp = {host}:{port + 6}\n"
@@ -132,24 +142,25 @@
         self._http = urllib3.PoolManager(retries=False)
 
     def start(self) -> None:
-        """Start everything and bring a bundle into force.
+        """Start all components, then sign off and roll a bundle.
 
         Raises:
-            TimeoutError: It did not become ready.
+            TimeoutError: A request was not accepted or the entry did not become
+                ready within ``READY_SECONDS``.
         """
         for name in ("target", "control", "entry", "agent"):
             self._kernel.get(name, object).start()  # type: ignore[attr-defined]
-        self._until("/bootstrap", {})
+        self._post_until_accepted("/bootstrap", {})
         content = model.from_ini(BUNDLE, "solo")
-        order = {
+        sign_off = {
             "op_id": "first",
             "parent": 0,
             "change": content,
             "content_hash": model.content_hash(content),
             "note": "",
         }
-        self._until("/ops/sign_off", order)
-        self._until("/ops/roll", {"op_id": "roll", "version": 1})
+        self._post_until_accepted("/ops/sign_off", sign_off)
+        self._post_until_accepted("/ops/roll", {"op_id": "roll", "version": 1})
         deadline = clocks.elapsed() + READY_SECONDS
         while clocks.elapsed() < deadline:
             resp = self._http.request(
@@ -158,9 +169,9 @@
             if resp.status == 200:
                 return
             time.sleep(0.1)
-        raise TimeoutError("solo did not become ready")
+        raise TimeoutError(f"the entry is not ready after {READY_SECONDS} s")
 
-    def _until(self, path: str, body: dict[str, Any]) -> None:
+    def _post_until_accepted(self, path: str, body: dict[str, Any]) -> None:
         deadline = clocks.elapsed() + READY_SECONDS
         while clocks.elapsed() < deadline:
             resp = self._http.request(
@@ -172,7 +183,7 @@
             if resp.status == 200:
                 return
             time.sleep(0.2)
-        raise TimeoutError(f"{path} was not accepted")
+        raise TimeoutError(f"{path} was not accepted within {READY_SECONDS} s")
 
-    def _values(self, role: str, text: str) -> settings.Values:
+    def _parse_settings(self, role: str, text: str) -> settings.Values:
         return settings.parse(text, f"solo {role}", config.SCHEMAS[role])
