--- a/jasperweir/components/balance/__init__.py
+++ b/jasperweir/components/balance/__init__.py
@@ -1,1 +1,1 @@
-"""Which target gets a request, how many are admitted, what is retried."""
+"""Load balancing, admission and retry limits of an entry."""
--- a/jasperweir/components/balance/advice.py
+++ b/jasperweir/components/balance/advice.py
@@ -1,30 +1,31 @@
-"""When a refused caller should come back."""
+"""Retry-After delays for refused callers."""
 
 import collections
 import random
 
-# Returning earlier than this would find the same requests still running.
+# Shortest delay, seconds: earlier, the same requests would still be running.
 LEAST_SECONDS = 0.25
-# Callers follow up to a third of the time that they have left.
+# Longest delay, seconds. Callers follow a delay of up to a third of the time
+# that they have left.
 MOST_SECONDS = 2.2
-# Each refusal of the last seconds stands for others who return as well.
+# Each refusal within the window adds this much to the delay, seconds: its
+# caller retries as well.
 SECONDS_PER_REFUSAL = 0.12
 WINDOW_SECONDS = 2.0
-# While a service refuses everybody, callers return after this long, spread so
-# that they do not all meet at its end. The longest is what a caller with 8 s
-# follows; together with its wait here it bridges some four seconds.
+# Range of delays during an outage, seconds; random, so that the retries spread.
+# The longest is what a caller with 8 s left still follows.
 OUTAGE_SECONDS = (1.6, 2.6)
-# After the end of a rest callers return within this time.
+# Range of delays after the end of a rest, seconds.
 AFTER_REST_SECONDS = (0.05, 0.6)
-# A process that has just started has its configuration within this time.
+# Within this time a starting process has its configuration, seconds.
 STARTING_SECONDS = 0.8
 
 
 class ReturnAdvice:
-    """Spread those who return over the time that an overload is likely to last.
+    """Computes Retry-After delays that spread retries over an overload.
 
-    The more were refused of late, the later they are asked back, so that not
-    all of them are refused again.
+    The delay grows with the number of recent refusals, so that the retries
+    don't arrive at once and are not all refused again.
     """
 
     def __init__(self, *, rng: random.Random) -> None:
@@ -32,11 +33,11 @@
         self._refused: collections.deque[float] = collections.deque()
 
     def after_refusal(self, now: float, foreseen_s: float = 0.0) -> float:
-        """Count a refusal; return the seconds after which to come back.
+        """Count a refusal and return the delay for its caller, seconds.
 
         Args:
             now: Monotonic seconds.
-            foreseen_s: Seconds after which a place is foreseen.
+            foreseen_s: Forecast time until a slot is free, seconds.
         """
         while self._refused and self._refused[0] <= now - WINDOW_SECONDS:
             self._refused.popleft()
@@ -46,18 +47,18 @@
         return min(wait, MOST_SECONDS) * self._rng.uniform(0.7, 1.3)
 
     def during_outage(self) -> float:
-        """Return the seconds after which an outage may have ended."""
+        """Return the delay for a caller during an outage, seconds."""
         return self._rng.uniform(*OUTAGE_SECONDS)
 
     def after_rest(self, rest_s: float) -> float:
-        """Return the seconds after which targets want requests again.
+        """Return the delay for a caller whose targets all rest, seconds.
 
         Args:
-            rest_s: Seconds until the first of them does.
+            rest_s: Seconds until the first of the rests ends.
         """
-        # Spread past its end: at first each target gets one request.
+        # Random, because each target gets a single request at first.
         return rest_s + self._rng.uniform(*AFTER_REST_SECONDS)
 
     def while_starting(self) -> float:
-        """Return the seconds after which a starting process is ready."""
+        """Return the delay until a starting process is ready, seconds."""
         return STARTING_SECONDS * self._rng.uniform(0.8, 1.4)
--- a/jasperweir/components/balance/balancer.py
+++ b/jasperweir/components/balance/balancer.py
@@ -1,4 +1,4 @@
-"""Choice of a target by the open requests of all entries; sans-I/O."""
+"""Choice of the least loaded target; sans-I/O."""
 
 import collections
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class Report(NamedTuple):
-    """Load that a target states with an answer."""
+    """Load that a target reports with an answer."""
 
     running: int
     waiting: int
@@ -23,7 +23,14 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Health:
-    """What an entry has seen of one target."""
+    """Health of one target as seen by this entry.
+
+    Attributes:
+        failures: Failures in a row.
+        ejected_until: End of its ejection, monotonic seconds.
+        eject_s: Duration of its next ejection, seconds.
+        seconds: Smoothed time to first byte, seconds; 0 while unknown.
+    """
 
     failures: int = 0
     ejected_until: float = 0.0
@@ -33,7 +40,14 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Peer:
-    """What another entry has told of its open requests."""
+    """Last load received from another entry.
+
+    Attributes:
+        sequence: Sequence number of its message.
+        heard_at: Time of receipt, monotonic seconds.
+        counts: Open requests by target.
+        queues: Waiting requests by service.
+    """
 
     sequence: int
     heard_at: float
@@ -42,11 +56,11 @@
 
 
 class Loads(NamedTuple):
-    """Load of some targets together.
+    """Total load of a set of targets.
 
     Attributes:
-        open: Open requests of all entries there.
-        free: How many requests they could begin now.
+        open: Open requests of all entries.
+        free: Free slots.
     """
 
     open: int
@@ -54,17 +68,22 @@
 
 
 class Stated(NamedTuple):
-    """Requests at a target that no entry has told of, and when it said so."""
+    """Requests at a target that no entry has reported.
+
+    Attributes:
+        unknown: Number of the requests.
+        at: Time of the target's report, monotonic seconds.
+    """
 
     unknown: int
     at: float
 
 
 class Balancer:
-    """Own and other entries' open requests, health, and the choice.
+    """Tracks the load and health of targets and chooses among them.
 
     Attributes:
-        on_change: Called when the own open requests change.
+        on_change: Called when this entry's open or waiting requests change.
     """
 
     def __init__(self, *, rng: random.Random) -> None:
@@ -73,10 +92,10 @@
         self._requests: dict[str, int] = {}
         self._queues: dict[str, messages.Queue] = {}
         self._peers: dict[str, Peer] = {}
-        # Open requests of all peers at each target, so that a choice need not
-        # ask each peer about each target.
+        # Sum of the peers' open requests by target, kept up to date so that a
+        # choice doesn't iterate over the peers.
         self._elsewhere: collections.Counter[str] = collections.Counter()
-        # When the first of the peers is stale if it tells nothing more.
+        # Earliest time at which the data of a peer become stale.
         self._stale_at = math.inf
         self._health: dict[str, Health] = {}
         self._reports: dict[str, Stated] = {}
@@ -84,15 +103,15 @@
         self._paces_at = float("-inf")
         self._sequence = 0
 
-    # Own requests.
+    # Requests of this entry.
 
     def begin(self, target_id: str) -> None:
-        """Count a request that is sent to a target."""
+        """Count a request sent to a target."""
         self._requests[target_id] = self._requests.get(target_id, 0) + 1
         self.on_change()
 
     def finish(self, target_id: str) -> None:
-        """Count a request that has ended at a target."""
+        """Remove an ended request from a target's count."""
         left = self._requests.get(target_id, 0) - 1
         if left > 0:
             self._requests[target_id] = left
@@ -101,13 +120,13 @@
         self.on_change()
 
     def open_requests(self) -> int:
-        """Return the number of own requests at targets."""
+        """Return the number of this entry's open requests."""
         return sum(self._requests.values())
 
     # Other entries.
 
     def share(self) -> messages.Share:
-        """Return what to tell the other entries."""
+        """Return the next message to the other entries."""
         self._sequence += 1
         loads = tuple(
             messages.OpenLoad(name, count)
@@ -119,13 +138,13 @@
         )
 
     def note_queue(self, queue: messages.Queue) -> None:
-        """Note how many requests of a service wait here."""
+        """Update the number of requests of a service that wait here."""
         if self._queues.get(queue.service) != queue:
             self._queues[queue.service] = queue
             self.on_change()
 
     def queue_elsewhere(self, service: str, now: float) -> messages.Queue:
-        """Return how many requests of a service wait at other entries."""
+        """Return the requests of a service that wait at other entries."""
         self._drop_stale(now)
         timely, late = 0, 0
         for peer in self._peers.values():
@@ -137,7 +156,7 @@
         return messages.Queue(service, timely, late)
 
     def on_share(self, src: str, msg: messages.Share, now: float) -> None:
-        """Take in another entry's open requests."""
+        """Replace the load of another entry unless the message is outdated."""
         self._drop_stale(now)
         peer = self._peers.get(src)
         if peer is not None and msg.sequence <= peer.sequence:
@@ -153,7 +172,7 @@
         self._stale_at = min(self._stale_at, now + const.SHARE_STALE_SECONDS)
 
     def forget(self, src: str) -> None:
-        """Drop what an entry told that has gone."""
+        """Drop the load of an entry that has gone."""
         peer = self._peers.pop(src, None)
         if peer is None:
             return
@@ -163,7 +182,7 @@
                 del self._elsewhere[target_id]
 
     def _drop_stale(self, now: float) -> None:
-        """Drop what entries told that have been silent for too long."""
+        """Drop the loads of entries that haven't sent any for too long."""
         if now < self._stale_at:
             return
         for src, peer in list(self._peers.items()):
@@ -176,7 +195,12 @@
     # Health.
 
     def succeeded(self, target_id: str, seconds: float | None) -> None:
-        """Note a good answer and the time to its first byte."""
+        """Record a good answer of a target.
+
+        Args:
+            target_id: The target.
+            seconds: Time to the first byte, seconds; None if unknown.
+        """
         health = self._health.setdefault(target_id, Health())
         health.failures = 0
         health.ejected_until = 0.0
@@ -189,7 +213,7 @@
         health.seconds += step
 
     def failed(self, target_id: str, now: float, *, hard: bool) -> None:
-        """Note a failure; a hard one ejects at once."""
+        """Record a failure of a target; a hard one ejects it at once."""
         health = self._health.setdefault(target_id, Health())
         health.failures += 1
         if not hard and health.failures < const.EJECT_FAILURES:
@@ -198,11 +222,11 @@
         health.eject_s = min(health.eject_s * 2, const.EJECT_MAX_SECONDS)
 
     def ejected(self, target_id: str, now: float) -> bool:
-        """Tell whether a target is left out for now."""
+        """Return whether a target is ejected."""
         health = self._health.get(target_id)
         return health is not None and now < health.ejected_until
 
-    # Choice.
+    # Choice of a target.
 
     def choose(
         self,
@@ -210,12 +234,12 @@
         exclude: set[str],
         now: float,
     ) -> records.Target | None:
-        """Return the least loaded fit target, or None if there is none."""
+        """Return the least loaded healthy target, None if there is none."""
         fit = [t for t in targets if t.target_id not in exclude]
         good = [t for t in fit if not self.ejected(t.target_id, now)]
         least = len(fit) * (1 - const.EJECT_SHARE)
         if len(good) < least or not good:
-            # A fault that hits most targets is not theirs alone.
+            # If most targets fail, the cause probably lies elsewhere.
             good = fit
         if not good:
             return None
@@ -234,11 +258,10 @@
         return self._rng.choice(cheapest)
 
     def loads(self, targets: list[records.Target], now: float) -> Loads:
-        """Return how much targets run, and how much more they could begin.
+        """Return the total load of targets.
 
-        One look at all of them: it is asked for with each request and each
-        tick, and three questions for each target would cost as much as the
-        rest of a request.
+        Computed in one pass over the targets, since this runs for each request
+        and each tick.
         """
         counts = self._counts(targets, now)
         free = sum(
@@ -249,7 +272,7 @@
         return Loads(open=sum(counts), free=free)
 
     def _counts(self, targets: list[records.Target], now: float) -> list[int]:
-        """Return the open requests of all entries at each of some targets."""
+        """Return the open requests of all entries at each target."""
         self._drop_stale(now)
         own, elsewhere = self._requests, self._elsewhere
         return [
@@ -265,29 +288,29 @@
         return known + self.unknown_at(target_id, now)
 
     def unknown_at(self, target_id: str, now: float) -> int:
-        """Return the requests at a target that no entry has told of."""
+        """Return the requests at a target that no entry has reported."""
         report = self._reports.get(target_id)
         if report is None or now - report.at > const.REPORT_SECONDS:
             return 0
         return report.unknown
 
     def on_report(self, target_id: str, report: Report, now: float) -> None:
-        """Take in the load that a target states with an answer.
+        """Record the load that a target reports with an answer.
 
-        What it states beyond the requests known here belongs to entries
-        that have gone, or to callers that nobody can see.
+        Requests beyond the known ones come from entries that have gone or from
+        other callers of the target.
         """
         stated = report.running + report.waiting
         unknown = max(0, stated - self._known_count(target_id, now))
         self._reports[target_id] = Stated(unknown=unknown, at=now)
 
     def on_paces(self, paces: dict[str, float], now: float) -> None:
-        """Take in which targets, by address, are slower than usual."""
+        """Replace the slowdown factors of targets, by address."""
         self._paces = paces
         self._paces_at = now
 
     def pace_of(self, target: records.Target, now: float) -> float:
-        """Return how much longer a target takes for the same work."""
+        """Return the factor by which a target is slower than usual."""
         if now - self._paces_at > const.PACE_SECONDS:
             return 1.0
         return self._paces.get(target.address, 1.0)
@@ -300,8 +323,7 @@
     def _cost(
         self, target: records.Target, count: int, typical: float, now: float
     ) -> float:
-        # A slow target takes its first request when the others have as many
-        # as make them take as long.
+        # The load of a slow target counts for more by its slowdown factor.
         cost = (count + 1) * self.pace_of(target, now) / max(target.slots, 1)
         health = self._health.get(target.target_id)
         if health is not None and typical > 0:
--- a/jasperweir/components/balance/budget.py
+++ b/jasperweir/components/balance/budget.py
@@ -1,4 +1,4 @@
-"""Retry budget that all entries keep together without asking each other."""
+"""Retry budget of a service, divided among the entries."""
 
 import collections
 
@@ -6,11 +6,11 @@
 
 
 class BudgetBounds:
-    """Bounds of a service's second sends.
+    """Bounds of a service's retries.
 
     Attributes:
-        ratio: Second sends allowed per first request in a window.
-        burst: Second sends allowed besides.
+        ratio: Retries allowed per first attempt within the window.
+        burst: Retries allowed in addition.
         window_s: Length of the sliding window, seconds.
     """
 
@@ -21,10 +21,10 @@
 
 
 class RetryBudget:
-    """One entry's share of the budget, by service.
+    """One entry's share of the retry budget of each service.
 
-    Each entry counts its own requests; the burst is divided by the number of
-    entries, so the sum stays within the bounds under any partition.
+    Each entry counts its own requests, and the burst is divided by the number
+    of entries, so that the sum stays within the bounds without coordination.
     """
 
     def __init__(self, *, bounds: BudgetBounds) -> None:
@@ -33,11 +33,11 @@
         self._second: dict[str, collections.deque[float]] = {}
 
     def count_first(self, service: str, now: float) -> None:
-        """Count a request of a caller."""
+        """Count the first attempt of a request."""
         self._recent(self._first, service, now).append(now)
 
     def take(self, service: str, entries: int, now: float) -> bool:
-        """Take one second send from the budget if it holds one."""
+        """Take one retry from the budget; return whether one was left."""
         first = self._recent(self._first, service, now)
         second = self._recent(self._second, service, now)
         share = const.BUDGET_SHARE
--- a/jasperweir/components/balance/const.py
+++ b/jasperweir/components/balance/const.py
@@ -1,129 +1,134 @@
-"""Constants of balancing at one entry."""
+"""Constants of load balancing at an entry."""
 
-# Entries tell each other a change of their open requests after this long, so
-# that a burst goes in one message; two that see the same free place meet in a
-# shorter time than a heartbeat of an engine.
+# Entries send a change of their open requests after this delay, seconds: a
+# burst of changes goes into one message.
 SHARE_DELAY_SECONDS = 0.004
-# And all of them this often, whether anything has changed or not.
+# Interval at which entries send all open requests, changed or not, seconds.
 SHARE_SECONDS = 0.5
-# Figures of an entry that has been silent for longer count no more.
+# Open requests of an entry that has sent nothing for this long are dropped,
+# seconds.
 SHARE_STALE_SECONDS = 1.5
-# Up to this many entries all tell each other; beyond, only those of a cell:
-# messages grow with the square of those who talk.
+# Up to this many entries all exchange their loads; with more, only the entries
+# of a cell do, since the number of messages grows with the square of the
+# entries.
 MESH_ENTRIES = 24
-# A data centre with twice as many entries or more is split into cells.
+# Entries of a cell; a data centre with at least twice as many is split.
 CELL_ENTRIES = 16
-# A cell of fewer targets than this is no home: sent to first, it would make
-# the fault of one target that of many requests.
+# A cell with fewer targets than this sends to all targets of its data centre:
+# the fault of one target would affect a large part of its requests.
 HOME_TARGETS = 6
-# A load header is trusted for this long.
+# A load that a target reports is used for this long, seconds.
 REPORT_SECONDS = 1.0
 
-# News of slow targets holds this long without being told again.
+# Reported slowdowns of targets are used for this long, seconds.
 PACE_SECONDS = 2.0
-# Places at a target that is this many times slower do not count.
+# The free slots of a target with this slowdown or more are not counted.
 PACE_MAX = 2.0
-# Streams leave a target from this pace on. A group waits in each pass for what
-# its slowest rank runs, and six streams take as long there as its fixed part.
+# Streams are moved away from a target with this slowdown or more: its whole
+# group waits in each pass for the slowest rank.
 MOVE_PACE = 3.0
 
-# Failures in a row after which a target is left out, and for how long.
+# A target is ejected after this many failures in a row, at first for
+# EJECT_SECONDS, then for twice as long each time.
 EJECT_FAILURES = 2
 EJECT_SECONDS = 1.0
 EJECT_MAX_SECONDS = 8.0
-# No more than this share of a service's targets is left out at once.
+# At most this share of a service's targets is ejected at once.
 EJECT_SHARE = 0.5
-# A target whose smoothed time is this many times the median is avoided.
+# A target whose smoothed time to first byte exceeds the median by this factor
+# gets the additional cost below.
 SLOW_FACTOR = 2.5
 SLOW_COST = 1.0
 TIME_SMOOTHING = 0.25
 
-# A pass of a group at work takes this many times its fixed steps without any
-# stream that writes: prompts are read in between.
+# Duration of a pass without decoding streams, as a multiple of its fixed steps:
+# prompts are read in between.
 PASS_FIXED_FACTOR = 1.5
-# Pauses longer than this many times what callers allow are no passes.
+# Pauses longer than this multiple of the longest allowed pause are stalls, not
+# passes.
 PASS_LONGEST = 4.0
-# How far one reading moves the time of a pass.
+# Weight of a new reading in the smoothed duration of a pass.
 PASS_SMOOTHING = 0.6
-# A pass of more than this time ago says nothing of the present, seconds.
+# The duration of a pass is used for this long, seconds.
 PASS_FRESH_SECONDS = 0.4
-# Below this share of the pause that callers allow a pass is no reason to limit
-# anything, and says little of what a stream costs.
+# Passes shorter than this share of the longest allowed pause don't limit the
+# streams; the cost of a stream can't be estimated from them.
 PASS_CALM = 0.8
-# While passes take longer than this share of the pause that callers allow,
-# nothing new is let in: single passes take some longer than most, and one that
-# is too long makes every stream of the group late.
+# New streams are admitted while passes take less than this share of the longest
+# allowed pause. Single passes are longer than the mean, and one that exceeds
+# the allowed pause delays every stream of the group.
 PASS_SHARE = 0.88
-# Whatever passes take, each target may run streams in this share of its slots:
-# with a slow rank they stay long. And an entry that is cut off from others sees
-# few of the streams, and would take each for dearer than it is.
+# Streams may always use this share of a target's slots. With a slow rank passes
+# stay long, and an entry that is cut off from others sees few of the streams
+# and overestimates the cost of each.
 PASS_LEAST_SHARE = 0.25
 
-# Who is late already, with nothing of its answer yet, gets a place only while
-# fewer than this share of all are taken: those who come meanwhile are in time.
+# A late request that has received nothing of its answer is admitted only while
+# fewer than this share of the slots are used, so that new requests stay in
+# time.
 LATE_SHARE = 0.85
-# A group that has shown no pass of late may have begun anew, with a map that
-# does not fit: full, it would pass the pause that callers allow.
+# The share of the slots that late requests may use in a group without recent
+# passes: it may have restarted with an expert map that doesn't fit, and its
+# passes would exceed the allowed pause.
 COLD_SHARE = 0.6
 
-# Share of the retry budget that the entries use in all, so that figures
-# that have not arrived yet cannot exceed it.
+# Share of the retry budget that the entries use: request counts that are still
+# under way can't make them exceed the budget.
 BUDGET_SHARE = 0.6
 
-# A first try waits for a place for this many times its target time at most. It
-# is refused at once if the forecast is longer, so that its caller can come back
-# when there is one; a caller that sees no first event leaves after four times.
+# Longest time that a first attempt waits for a slot, as a multiple of its
+# route's target time. If the forecast is longer it is refused at once and its
+# caller can retry; callers give up after four times the target time without a
+# first event.
 WAIT_SHARE = 2.0
-# And for no more than this share of the time that its caller has left.
+# The same as a share of the time that its caller has left.
 WAIT_MOST_SHARE = 0.25
-# It waits this many times as long as the forecast says, which is a mean.
+# Factor from the forecast, which is a mean, to the time that a request waits.
 FORECAST_FACTOR = 2.0
-# And this long in any case, seconds: a group that is being switched to a map
-# that fits takes new streams again after it.
+# Shortest time that a first attempt waits, seconds: a group that switches to a
+# new expert map accepts streams again within it.
 WAIT_LEAST_SECONDS = 0.6
-# How far one request moves the usual times of its service.
+# Weight of a new request in the smoothed times of its service.
 FORECAST_SMOOTHING = 0.1
-# A caller that resumes a stream has no further try: it waits this long for a
-# place, or for targets and a configuration to be there again, since a late
-# rest of its answer is worth more to it than none.
+# Time that a caller that resumes a stream waits for a free slot, for targets or
+# for a configuration, seconds. It has no further attempt, and a late rest of
+# the answer is better than none.
 RESUMED_WAIT_SECONDS = 1.8
-# A caller that was refused and has come back has no further try either, but
-# nothing of its answer yet. It waits for this many times its target time: it
-# would leave after four times that without a first event.
+# Longest time that a caller that retries after a refusal waits, as a multiple
+# of its route's target time. It has no further attempt, and gives up after four
+# times the target time without a first event.
 RETURNED_WAIT_SHARE = 3.5
-# And for no more than this share of the time that it has left.
+# The same as a share of the time that it has left.
 RETURNED_WAIT_MOST_SHARE = 1 / 3
-# A caller that has used up this much of its route's usual time has come back;
-# the earliest that a refusal asks anybody back, less the spread of networks.
+# A caller that has used up at least this much of its route's usual time is
+# taken for one that retries, seconds: the shortest Retry-After delay less the
+# spread of network delays.
 RETURN_LEAST_SECONDS = 0.15
-# An entry that started no longer ago than this expects its configuration and
-# its targets any moment; they come within 1.0 s after a loss of all power. One
-# that still lacks them is cut off. Seconds.
+# An entry expects its configuration and its targets within this time after its
+# start, seconds; one that still lacks them later is cut off.
 START_SECONDS = 3.0
-# So long it keeps a request meanwhile: a caller without a first event leaves
-# after 2 s, some 0.3 s of which its answer takes. Seconds.
+# Time that a starting entry holds a request meanwhile, seconds: callers give up
+# after 2 s without a first event, and the answer takes some 0.3 s of that.
 START_WAIT_SECONDS = 1.2
-# Targets that have just started refuse until their group has formed, and do so
-# within some ms; whom they have not refused for this long they have taken, and
-# those who wait follow. Seconds.
+# A request that a starting target has not refused within this time is accepted,
+# seconds: targets refuse within some ms until their group has formed.
 START_TAKEN_SECONDS = 0.06
-# Meanwhile one of those who wait tries them this often, seconds: more often
-# than in an outage, as the group is about to accept.
+# Interval at which a starting entry sends a waiting request as a probe,
+# seconds; shorter than in an outage, as the group is about to accept.
 START_PROBE_SECONDS = 0.2
-# And one refusal is enough to know that they do: each further one of each entry
-# takes from the retry budget what they need later.
+# Refusals in a row by which a starting entry knows that its targets refuse;
+# each further one would use up the retry budget.
 START_REFUSALS = 1
-# No more requests than this are kept without a configuration: what callers of a
-# large site send to one entry in a second is some tens, each of some KB.
+# Most requests that an entry holds without a configuration.
 START_KEPT_MOST = 512
-# Time until a waiting request is tried again where targets refused it.
+# Delay until a waiting request that targets refused is sent again, seconds.
 PAUSE_SECONDS = 0.15
 
-# A service that has refused this many requests in a row serves nobody.
+# Refusals in a row that make an outage of a service.
 OUTAGE_REFUSALS = 3
-# Refusals that are further apart say nothing about each other: a dead rank
-# holds up its group's work for 1.5 s before the next refusals come.
+# Refusals further apart than this are not counted together, seconds; a group
+# with a dead rank holds its work up for 1.5 s before it refuses again.
 OUTAGE_SILENT_SECONDS = 2.0
-# During an outage requests that come for the first time are its probes. An
-# entry that gets none sends a waiting request this often instead.
+# Interval at which an entry sends a waiting request as a probe in an outage if
+# no new requests arrive, seconds.
 OUTAGE_PROBE_SECONDS = 0.5
--- a/jasperweir/components/balance/forecast.py
+++ b/jasperweir/components/balance/forecast.py
@@ -1,4 +1,4 @@
-"""When a request that finds no place is likely to get one; sans-I/O."""
+"""Forecast of waiting times and division of free slots; sans-I/O."""
 
 import math
 import random
@@ -9,11 +9,12 @@
 
 
 class Forecast:
-    """Usual times of one service's requests at its targets.
+    """Smoothed durations of one service's requests.
 
     Attributes:
-        whole_s: Usual time from sending to the end, seconds; 0 while unknown.
-        first_s: Usual time from sending to the first byte, seconds.
+        whole_s: Time from sending to the end of the answer, seconds; 0 while
+            unknown.
+        first_s: Time from sending to the first byte, seconds.
     """
 
     def __init__(self) -> None:
@@ -21,31 +22,30 @@
         self.first_s = 0.0
 
     def on_end(self, whole_s: float, first_s: float) -> None:
-        """Take in how long a request took at its target."""
+        """Record the durations of a request that has ended."""
         self.whole_s = _smooth(self.whole_s, whole_s)
         self.first_s = _smooth(self.first_s, first_s)
 
     def wait_s(self, *, ahead: int, running: int) -> float:
-        """Return the seconds until a request gets a place.
+        """Return the forecast time until a request gets a slot, seconds.
 
-        Running requests end one after the other, evenly over the time that
-        they take.
+        Assumes that the running requests end evenly over their duration.
 
         Args:
-            ahead: Requests that get a place before it, and places that must
-                come free before anybody gets one.
+            ahead: Requests that are served before it, plus slots that have to
+                become free before any request is served.
             running: Requests at the targets.
         """
         return (ahead + 1) * self.whole_s / max(running, 1)
 
 
 class Part(NamedTuple):
-    """Free places that one entry gives away.
+    """Free slots that one entry may fill.
 
     Attributes:
-        timely: To those who can be in time.
-        late: To the others.
-        yielding: How many of these to those who leave room.
+        timely: Slots for requests that can still meet their target time.
+        late: Slots for late requests.
+        yielding: How many of the late ones may go to requests that leave room.
     """
 
     timely: int
@@ -54,7 +54,7 @@
 
     @property
     def total(self) -> int:
-        """To all of them."""
+        """Slots for all requests."""
         return self.timely + self.late
 
 
@@ -65,19 +65,18 @@
     rng: random.Random,
     late_places: float = math.inf,
 ) -> Part:
-    """Return how many free places this entry gives away.
+    """Return how many of the free slots this entry may fill.
 
-    Entries see the same places; each takes the part that those who wait there
-    are of all who wait, first of those who can be in time, then of the others.
+    All entries see the same free slots. Each takes a share in proportion to its
+    waiting requests: first for timely requests, then for late ones.
 
     Args:
-        places: Free places that these entries see, or their part of what more
-            entries see.
+        places: Free slots that these entries see, or their share of them.
         own: Requests that wait at this entry.
-        others: Requests that wait at the others.
+        others: Requests that wait at the other entries.
         rng: Random source.
-        late_places: How many of the places are for those who are late and
-            leave room for others.
+        late_places: How many of the slots may go to late requests that leave
+            room for others.
     """
     places = max(places, 0.0)
     for_timely = min(places, own.timely + others.timely)
@@ -91,12 +90,12 @@
 
 
 def _drawn(places: float, own: int, others: int, rng: random.Random) -> int:
-    """Return this entry's part; of a place that is left one entry's on average.
+    """Return this entry's share, rounded up or down at random.
 
     Args:
-        places: Places to share.
-        own: Requests that wait here.
-        others: Requests that wait elsewhere.
+        places: Slots to share.
+        own: Requests that wait at this entry.
+        others: Requests that wait at the other entries.
         rng: Random source.
     """
     if places <= 0 or own < 1:
--- a/jasperweir/components/balance/gate.py
+++ b/jasperweir/components/balance/gate.py
@@ -1,25 +1,25 @@
-"""Who waits for a place at a service's targets, and who gets one; sans-I/O.
+"""Queue of requests that wait for a free slot of a service; sans-I/O.
 
-Who can still be answered within its target time goes first: each place given to
-one that is late already would make another one late, and with a queue of a
-second nobody would be in time. Those who are late get what is left, as load
-that comes in waves leaves within a second or two.
+Requests that can still be answered within their target time are served first:
+serving a late request first would make the next one late as well, and with a
+queue of one second every request would be late. Late requests get the slots
+that are left.
 """
 
 from typing import NamedTuple
 
 
 class Waiting(NamedTuple):
-    """A request that waits, in the order of arrival within its priority.
+    """A waiting request, served in order of arrival within its priority.
 
     Attributes:
-        priority: 0 is served first.
-        since: When its caller first asked, monotonic seconds.
-        number: Own number of the request.
-        until: When it is refused, monotonic seconds.
-        not_before: When it may be sent at the earliest, monotonic seconds.
-        timely_until: Until when a place lets it be answered within its target
-            time, monotonic seconds; for ever if it resumes an answer.
+        priority: Priority; 0 is served first.
+        since: Time of its caller's first attempt, monotonic seconds.
+        number: Number of the request at this entry.
+        until: Time at which it is refused, monotonic seconds.
+        not_before: Earliest time at which it may be sent, monotonic seconds.
+        timely_until: Latest time to send it that still meets its target time,
+            monotonic seconds; infinite if it resumes an answer.
     """
 
     priority: int
@@ -30,26 +30,26 @@
     timely_until: float = float("-inf")
 
     def is_late(self, now: float) -> bool:
-        """Tell whether it leaves room for those who can still be in time."""
+        """Return whether it can no longer meet its target time."""
         return now > self.timely_until
 
 
 class Gate:
-    """Requests of one service that wait for a place at this entry."""
+    """Requests of one service that wait for a free slot at this entry."""
 
     def __init__(self) -> None:
         self._waiting: dict[int, Waiting] = {}
 
     def __len__(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return len(self._waiting)
 
     def numbers(self) -> list[int]:
-        """Return the requests that wait."""
+        """Return the numbers of the waiting requests."""
         return list(self._waiting)
 
     def timely(self, now: float) -> int:
-        """Return how many of those who wait can still be in time."""
+        """Return how many waiting requests can still meet their target time."""
         return sum(not w.is_late(now) for w in self._waiting.values())
 
     def wait(self, waiting: Waiting) -> None:
@@ -57,19 +57,18 @@
         self._waiting[waiting.number] = waiting
 
     def withdraw(self, number: int) -> bool:
-        """Take out a request whose caller has gone; tell if it waited."""
+        """Remove a request; return whether it was waiting."""
         return self._waiting.pop(number, None) is not None
 
     def admit(
         self, places: int, now: float, *, yielding: int | None = None
     ) -> list[int]:
-        """Return the requests that get the free places, in their order.
+        """Remove and return the requests to send now, in order.
 
         Args:
-            places: Free places.
+            places: Free slots.
             now: Monotonic seconds.
-            yielding: How many of them those may get who leave room for others;
-                None for all.
+            yielding: Most slots that late requests may get; None for all.
         """
         if places < 1:
             return []
@@ -85,7 +84,7 @@
         return chosen
 
     def expire(self, now: float) -> list[int]:
-        """Return the requests that have waited long enough to be refused."""
+        """Remove and return the requests whose waiting time has run out."""
         late = [w.number for w in self._waiting.values() if w.until <= now]
         for number in late:
             del self._waiting[number]
--- a/jasperweir/components/balance/late.py
+++ b/jasperweir/components/balance/late.py
@@ -1,9 +1,8 @@
-"""Places for requests that are late already; sans-I/O.
+"""Limit of slots for late requests; sans-I/O.
 
-After an outage everybody whom it hit comes back at once. All of them are late,
-whatever is done. If they take every place of a group that has just begun
-anew, its passes exceed the pause that callers allow, and for seconds those who
-come are late as well.
+After an outage the callers that it affected retry at once, and all of them are
+late. If they took every slot of a group that has just restarted, its passes
+would exceed the allowed pause and new requests would be late as well.
 """
 
 import math
@@ -19,12 +18,12 @@
     limit: passes_lib.PassLimit | None,
     now: float,
 ) -> int:
-    """Return up to how many open requests one that is late gets a place.
+    """Return the number of open requests below which a late one is admitted.
 
     Args:
-        slots: Slots of the targets together.
-        targets: Number of the targets.
-        limit: Limit of streams of their group, if there is one.
+        slots: Total slots of the targets.
+        targets: Number of targets.
+        limit: Stream limit of their group, None if it has none.
         now: Monotonic seconds.
     """
     most = float(slots)
--- a/jasperweir/components/balance/messages.py
+++ b/jasperweir/components/balance/messages.py
@@ -1,4 +1,4 @@
-"""Messages between entries about their open requests."""
+"""Messages by which entries exchange their open requests."""
 
 from typing import NamedTuple
 
@@ -13,12 +13,12 @@
 
 
 class Queue(NamedTuple):
-    """Requests of one service that wait at one entry.
+    """Number of requests of one service that wait at one entry.
 
     Attributes:
-        service: Their service.
-        timely: How many can still be answered within their target time.
-        late: How many cannot.
+        service: Name of the service.
+        timely: Requests that can still be answered within their target time.
+        late: Requests that can't.
     """
 
     service: str
@@ -27,12 +27,12 @@
 
 
 class Refusing(NamedTuple):
-    """A target that turns the requests of one entry away.
+    """A target that refuses the requests of one entry.
 
     Attributes:
-        target_id: The target.
-        born: Which of its starts, Unix milliseconds, 0 if it does not say.
-        for_s: For how long the entry sends it nothing, seconds.
+        target_id: Id of the target.
+        born: Start time of its incarnation, Unix milliseconds; 0 if unknown.
+        for_s: Time for which the entry sends it nothing, seconds.
     """
 
     target_id: str
@@ -42,13 +42,13 @@
 
 @codec.message("balance.share")
 class Share(NamedTuple):
-    """All open requests of an entry, by target, and those that wait.
+    """Open and waiting requests of an entry.
 
     Attributes:
-        sequence: Counts the messages of this entry.
-        loads: Requests at targets.
-        queues: Requests that wait for a place, by service; none that is empty.
-        refusing: Targets that turn this entry's requests away.
+        sequence: Sequence number of the entry's messages.
+        loads: Open requests by target.
+        queues: Requests that wait for a free slot by service; none is empty.
+        refusing: Targets that refuse this entry's requests.
     """
 
     sequence: int
--- a/jasperweir/components/balance/neighbours.py
+++ b/jasperweir/components/balance/neighbours.py
@@ -1,11 +1,11 @@
-"""Which entries tell each other their open requests, and for which targets.
-
-In a small system every entry tells every other and all targets are equal.
-Messages grow with the square of the entries, and bytes between data centres
-cost, so in a large one an entry deals with the entries of its own cell, a part
-of its data centre, and sends to the targets there. Callers spread evenly over
-all entries: where a data centre has more of the entries than of the places at
-targets, its entries send the surplus to the others. Sans-I/O.
+"""Cells of entries that exchange loads, and their targets; sans-I/O.
+
+In a small system every entry exchanges loads with every other and uses all
+targets. The number of messages grows with the square of the entries, and
+traffic between data centres is expensive, so in a large system an entry
+exchanges loads within its cell, a part of its data centre, and sends to the
+targets of that cell. Callers spread evenly over all entries: a data centre with
+a larger share of the entries than of the slots sends the surplus elsewhere.
 """
 
 import collections
@@ -19,16 +19,17 @@
 
 
 class Sorted(NamedTuple):
-    """Targets of a service as one entry sees them.
+    """Targets of a service, grouped for one entry.
 
     Attributes:
-        targets: All of them.
-        by_place: By data centre.
-        own: Those of the entry's own cell, or data centre if these are few.
-        kept: Share of its requests that the entry sends to its data centre,
-            above 1 if that has places to spare.
-        spare: By data centre that has more of the places than of the entries,
-            by how much.
+        targets: All targets.
+        by_place: Targets by data centre.
+        own: Targets of the entry's cell, or of its data centre if the cell has
+            too few.
+        kept: Share of its requests that the entry sends to its own data centre;
+            above 1 if that has spare slots.
+        spare: Share of the slots less share of the entries, by data centre, of
+            those where it is positive.
     """
 
     targets: Targets
@@ -39,26 +40,26 @@
 
 
 class Neighbours:
-    """Cell of one entry.
+    """The cell of one entry.
 
     Attributes:
         name: Name of the entry.
-        peers: The entries to tell, this one left out.
+        peers: Other entries with which it exchanges loads.
     """
 
     def __init__(self, *, name: str, place: str) -> None:
         self.peers: tuple[records.Node, ...] = ()
         self.name = name
         self._place = place
-        # Entries by data centre; empty while all entries tell each other.
+        # Number of entries by data centre; empty in a small system.
         self._entries: collections.Counter[str] = collections.Counter()
         self._cells = 1
         self._cell = 0
-        # The last targets asked about, by data centre, and those of the cell.
+        # Cached grouping of the last targets.
         self._sorted: Sorted | None = None
 
     def on_entries(self, entries: tuple[records.Node, ...]) -> None:
-        """Take in which entries there are."""
+        """Update the cell from the list of all entries."""
         others = [node for node in entries if node.name != self.name]
         self._sorted = None
         self._entries.clear()
@@ -77,11 +78,15 @@
         )
 
     def home(self, targets: Targets, draw: float) -> Targets:
-        """Return the targets to send a request to first.
+        """Return the preferred targets of a request.
 
         Args:
             targets: All targets of its service.
             draw: Random number of at least 0 and below 1.
+
+        Returns:
+            Targets of the cell or of another data centre with spare slots; all
+            targets in a small system or if these are too few.
         """
         if not self._entries:
             return targets
@@ -91,7 +96,7 @@
             self._sorted = known
         place = self._pick_place(known, draw)
         near = known.own if place == self._place else known.by_place[place]
-        # Of a few, one bad target would be a large part.
+        # Among few targets a faulty one would get a large part of the requests.
         return near if len(near) >= const.HOME_TARGETS else targets
 
     def _sort(self, targets: Targets) -> Sorted:
@@ -122,10 +127,10 @@
         )
 
     def _pick_place(self, known: Sorted, draw: float) -> str:
-        """Return the own data centre, or one that has places to spare."""
+        """Return the own data centre, or one with spare slots."""
         if draw < known.kept:
             return self._place
-        # What is left of the draw is even again.
+        # Rescale the draw, which is uniform above this bound, to 0 to 1.
         left = (draw - known.kept) / (1 - known.kept)
         left *= sum(known.spare.values())
         for place, share in known.spare.items():
--- a/jasperweir/components/balance/outage.py
+++ b/jasperweir/components/balance/outage.py
@@ -1,8 +1,7 @@
-"""Tell a service that refuses everything from one that is merely full.
+"""Detection of services that refuse every request; sans-I/O.
 
-While one rank of a group is down, all its ranks refuse. A second try elsewhere
-is then in vain, and so is one after a short pause; both use up the retry
-budget that is needed once the group is back. Sans-I/O.
+While one rank of a group is down, all ranks of the group refuse. Retries would
+fail as well and use up the retry budget that is needed after the recovery.
 """
 
 import collections
@@ -11,26 +10,29 @@
 
 
 class Outage:
-    """What one entry concludes from the last answers of a service."""
+    """Outage state of one service, derived from its recent answers."""
 
     def __init__(self) -> None:
         self._refusals = 0
         self._needed = const.OUTAGE_REFUSALS
         self._refused_at = float("-inf")
         self._probed_at = float("-inf")
-        # When the first request since the last refusal was sent.
+        # Time of the first request sent since the last refusal.
         self._sent_at = float("-inf")
 
     def on_sent(self, now: float) -> None:
-        """Note that a request goes to a target."""
+        """Record that a request is sent to a target."""
         if self._sent_at <= self._refused_at:
             self._sent_at = now
 
     def seems_over(self, now: float) -> bool:
-        """Tell whether targets have taken a request, as it was not refused.
+        """Return whether targets seem to accept requests again.
 
-        Only for targets that refuse at once: a group of which a rank is lost
-        holds up what it gets before it refuses.
+        True once the first request since the last refusal has not been refused
+        for START_TAKEN_SECONDS.
+
+        Applies only to targets that refuse at once: a group that has lost a
+        rank holds a request up before it refuses.
         """
         if self._sent_at <= self._refused_at:
             return False
@@ -39,11 +41,11 @@
     def on_refusal(
         self, now: float, needed: int = const.OUTAGE_REFUSALS
     ) -> bool:
-        """Count a refusal; return whether an outage begins with it.
+        """Count a refusal; return whether it begins an outage.
 
         Args:
             now: Monotonic seconds.
-            needed: So many in a row make an outage.
+            needed: Refusals in a row that make an outage.
         """
         self._needed = needed
         before = self.lasts(now)
@@ -54,13 +56,13 @@
         return not before and self.lasts(now)
 
     def on_answer(self, now: float) -> bool:
-        """Note that a target took a request; return whether an outage ends."""
+        """Record an accepted request; return whether an outage ends."""
         ended = self.lasts(now)
         self._refusals = 0
         return ended
 
     def lasts(self, now: float) -> bool:
-        """Tell whether everything of late was refused."""
+        """Return whether all recent requests were refused."""
         if now - self._refused_at > const.OUTAGE_SILENT_SECONDS:
             return False
         return self._refusals >= self._needed
@@ -68,11 +70,11 @@
     def take_probe(
         self, now: float, every_s: float = const.OUTAGE_PROBE_SECONDS
     ) -> bool:
-        """Tell whether one waiting request may try the service now.
+        """Return whether a waiting request may be sent as a probe now.
 
         Args:
             now: Monotonic seconds.
-            every_s: Least time between two of them, seconds.
+            every_s: Shortest interval between two probes, seconds.
         """
         if now - self._probed_at < every_s:
             return False
@@ -81,11 +83,11 @@
 
 
 class Outages:
-    """Outages of all services, as one entry sees them."""
+    """Outage states of all services, as one entry sees them."""
 
     def __init__(self) -> None:
         self._by_service: dict[str, Outage] = collections.defaultdict(Outage)
 
     def of(self, service: str) -> Outage:
-        """Return what is known of a service."""
+        """Return the outage state of a service."""
         return self._by_service[service]
--- a/jasperweir/components/balance/passes.py
+++ b/jasperweir/components/balance/passes.py
@@ -1,17 +1,16 @@
-"""How many streams a group of engines may run; sans-I/O.
-
-The engines of a group make each pass together, and each stream gets one event
-a pass. With more streams a pass takes longer, until every pause exceeds what
-callers allow and all streams are late at once; slow passes also keep streams
-open, so that a group gets into that state quickly and out of it slowly. The
-slots of an engine say nothing of this: the limit belongs to the group.
-
-An entry sees the pauses of the streams that it carries, which are the passes.
-From them it follows what a stream adds to a pass, and how many fit. That
-changes with the expert map, up to threefold when demand jumps: for the second
-until the map fits again nothing new is let in, since reading new prompts would
-make the passes longer still. Every entry sees the same passes and streams, so
-all come to the same limit without asking each other.
+"""Limit of concurrent streams of a group of engines; sans-I/O.
+
+The engines of a group run each forward pass together, and each stream gets one
+event per pass. More streams make a pass longer, until the pauses between events
+exceed what callers allow and all streams of the group are late. Slow passes
+also keep streams open, so that a group recovers slowly. The slots of an engine
+don't prevent this, because the limit belongs to the group.
+
+An entry measures the passes as the pauses of the streams that it carries, and
+estimates how much a stream adds to a pass and how many streams fit. The cost of
+a stream depends on the expert map; while the map doesn't fit the demand no new
+streams are admitted, since reading their prompts would make passes longer.
+Every entry sees the same passes and streams and computes the same limit.
 """
 
 import math
@@ -21,12 +20,12 @@
 
 
 class PassBounds(NamedTuple):
-    """What is known of a service's passes from the configuration.
+    """Configured properties of a service's passes.
 
     Attributes:
-        pause_s: Longest pause that its routes allow, seconds.
-        fixed_s: Time of a pass without any stream, seconds.
-        slots: Requests that one engine runs at once.
+        pause_s: Longest pause between events that its routes allow, seconds.
+        fixed_s: Duration of a pass without streams, seconds.
+        slots: Concurrent requests of one engine.
     """
 
     pause_s: float
@@ -35,39 +34,39 @@
 
 
 class PassLimit:
-    """Limit of streams for each target of one service.
+    """Limit of streams per target of one service.
 
     Attributes:
-        bounds: What is known from the configuration.
-        pass_s: Smoothed time of a pass, 0 while it is not known.
+        bounds: Configured properties.
+        pass_s: Smoothed duration of a pass, seconds; 0 while unknown.
     """
 
     def __init__(self, *, bounds: PassBounds) -> None:
         self.bounds = bounds
         self.pass_s = 0.0
         self._pauses: list[float] = []
-        # What one stream at each target adds to a pass, seconds; 0 while
+        # Time that one stream per target adds to a pass, seconds; 0 while
         # passes are short.
         self._cost_s = 0.0
         self._heard_at = float("-inf")
 
     def on_pause(self, seconds: float) -> None:
-        """Take in the pause between two events of a stream."""
+        """Record the pause between two events of a stream."""
         self._pauses.append(seconds)
 
     @property
     def is_due(self) -> bool:
-        """Whether pauses were seen since the last update."""
+        """Whether pauses were recorded since the last update."""
         return bool(self._pauses)
 
     def update(self, streams: float, now: float) -> None:
-        """Learn from the pauses since the last call.
+        """Update the estimates from the pauses since the last call.
 
         Args:
-            streams: Open streams for each target, on average.
+            streams: Mean number of open streams per target.
             now: Monotonic seconds.
         """
-        # A longer one is a stall or a lost connection, not a pass.
+        # Longer pauses are stalls or lost connections, not passes.
         longest_s = const.PASS_LONGEST * self.bounds.pause_s
         usual = [pause for pause in self._pauses if pause <= longest_s]
         self._pauses.clear()
@@ -83,11 +82,11 @@
             self._cost_s = (self.pass_s - self.bounds.fixed_s) / streams
 
     def is_cold(self, now: float) -> bool:
-        """Tell whether no pass has been seen of late."""
+        """Return whether there are no recent passes."""
         return now - self._heard_at > const.PASS_FRESH_SECONDS
 
     def streams(self, now: float) -> float:
-        """Return how many streams each target may run on average."""
+        """Return the limit of streams per target, infinite if unlimited."""
         if self.is_cold(now):
             return math.inf
         if self._cost_s <= 0:
@@ -98,13 +97,13 @@
 
 
 class PassLimits:
-    """Limits of all services whose engines make passes together."""
+    """Stream limits of all services whose engines run passes together."""
 
     def __init__(self) -> None:
         self._limits: dict[str, PassLimit] = {}
 
     def on_bounds(self, bounds: dict[str, PassBounds]) -> None:
-        """Take in which services there are, and their bounds."""
+        """Replace the services and their bounds."""
         for name in self._limits.keys() - bounds.keys():
             del self._limits[name]
         for name, found in bounds.items():
@@ -114,14 +113,14 @@
                 self._limits[name] = PassLimit(bounds=found)
 
     def of(self, service: str) -> PassLimit | None:
-        """Return the limit of a service, None if it has none."""
+        """Return the stream limit of a service, None if it has none."""
         return self._limits.get(service)
 
     def on_pause(self, service: str, seconds: float) -> bool:
-        """Take in the pause between two events of a stream.
+        """Record the pause between two events of a stream.
 
         Returns:
-            Whether the service has a limit that can learn from it.
+            Whether the service has a stream limit.
         """
         limit = self._limits.get(service)
         if limit is None:
@@ -130,5 +129,5 @@
         return True
 
     def due(self) -> list[tuple[str, PassLimit]]:
-        """Return the services with pauses that were not learnt from yet."""
+        """Return the services and limits that need an update."""
         return [item for item in self._limits.items() if item[1].is_due]
--- a/jasperweir/components/balance/patience.py
+++ b/jasperweir/components/balance/patience.py
@@ -1,7 +1,7 @@
-"""Tell a caller that has come back from one that asks for the first time.
+"""Estimate of the time that a caller has already waited; sans-I/O.
 
-A caller states how long it will wait. One that was refused and came back has
-used up a part of that time. Sans-I/O.
+A caller states how long it will still wait. One that retries after a refusal
+states less than at its first attempt.
 """
 
 from jasperweir.components.balance import const
@@ -9,23 +9,23 @@
 
 
 class UsualPatience:
-    """Longest time that callers of each route have stated."""
+    """Longest time that callers of each route have stated, seconds."""
 
     def __init__(self) -> None:
         self._longest: dict[str, float] = {}
 
     def used(self, route: model.Route, stated_s: float | None) -> float:
-        """Return the seconds that a caller has most likely waited already.
+        """Return the estimated time that a caller has already waited.
 
         Args:
-            route: Its route. A patience beyond the route's own time-out says
-                nothing, so that a few very patient callers do not make all
-                others look as if they had come back.
-            stated_s: Seconds that the caller states it will still wait, None
-                if it states nothing.
+            route: Its route. Stated times are capped at the time-out of the
+                route, so that a few very long ones don't make all other
+                requests look like retries.
+            stated_s: Time that the caller states it will still wait, seconds;
+                None if it states none.
 
         Returns:
-            Seconds, 0 for a first try.
+            Seconds, 0 for a first attempt.
         """
         if stated_s is None:
             return 0.0
