--- a/jasperweir/components/balance/advice.py
+++ b/jasperweir/components/balance/advice.py
@@ -4,10 +4,10 @@
 import random
 
 # Shortest delay, seconds: earlier, the same requests would still be running.
-LEAST_SECONDS = 0.25
+MIN_SECONDS = 0.25
 # Longest delay, seconds. Callers follow a delay of up to a third of the time
 # that they have left.
-MOST_SECONDS = 2.2
+MAX_SECONDS = 2.2
 # Each refusal within the window adds this much to the delay, seconds: its
 # caller retries as well.
 SECONDS_PER_REFUSAL = 0.12
@@ -41,10 +41,10 @@
         """
         while self._refused and self._refused[0] <= now - WINDOW_SECONDS:
             self._refused.popleft()
-        wait = LEAST_SECONDS + SECONDS_PER_REFUSAL * len(self._refused)
+        wait = MIN_SECONDS + SECONDS_PER_REFUSAL * len(self._refused)
         self._refused.append(now)
         wait = max(wait, foreseen_s)
-        return min(wait, MOST_SECONDS) * self._rng.uniform(0.7, 1.3)
+        return min(wait, MAX_SECONDS) * self._rng.uniform(0.7, 1.3)
 
     def during_outage(self) -> float:
         """Return the delay for a caller during an outage, seconds."""
--- a/jasperweir/components/balance/balancer.py
+++ b/jasperweir/components/balance/balancer.py
@@ -22,40 +22,40 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Health:
+class TargetHealth:
     """Health of one target as seen by this entry.
 
     Attributes:
         failures: Failures in a row.
         ejected_until: End of its ejection, monotonic seconds.
         eject_s: Duration of its next ejection, seconds.
-        seconds: Smoothed time to first byte, seconds; 0 while unknown.
+        first_byte_s: Smoothed time to first byte, seconds; 0 while unknown.
     """
 
     failures: int = 0
     ejected_until: float = 0.0
     eject_s: float = const.EJECT_SECONDS
-    seconds: float = 0.0
+    first_byte_s: float = 0.0
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Peer:
+class PeerLoad:
     """Last load received from another entry.
 
     Attributes:
         sequence: Sequence number of its message.
-        heard_at: Time of receipt, monotonic seconds.
+        received_at: Time of receipt, monotonic seconds.
         counts: Open requests by target.
         queues: Waiting requests by service.
     """
 
     sequence: int
-    heard_at: float
+    received_at: float
     counts: dict[str, int]
     queues: dict[str, messages.Queue]
 
 
-class Loads(NamedTuple):
+class TotalLoad(NamedTuple):
     """Total load of a set of targets.
 
     Attributes:
@@ -67,7 +67,7 @@
     free: int
 
 
-class Stated(NamedTuple):
+class UntrackedLoad(NamedTuple):
     """Requests at a target that no entry has reported.
 
     Attributes:
@@ -89,39 +89,39 @@
     def __init__(self, *, rng: random.Random) -> None:
         self.on_change: Callable[[], None] = lambda: None
         self._rng = rng
-        self._requests: dict[str, int] = {}
-        self._queues: dict[str, messages.Queue] = {}
-        self._peers: dict[str, Peer] = {}
+        self._own_requests: dict[str, int] = {}
+        self._own_queues: dict[str, messages.Queue] = {}
+        self._peers: dict[str, PeerLoad] = {}
         # Sum of the peers' open requests by target, kept up to date so that a
         # choice doesn't iterate over the peers.
-        self._elsewhere: collections.Counter[str] = collections.Counter()
+        self._peer_requests: collections.Counter[str] = collections.Counter()
         # Earliest time at which the data of a peer become stale.
         self._stale_at = math.inf
-        self._health: dict[str, Health] = {}
-        self._reports: dict[str, Stated] = {}
-        self._paces: dict[str, float] = {}
-        self._paces_at = float("-inf")
+        self._health: dict[str, TargetHealth] = {}
+        self._reports: dict[str, UntrackedLoad] = {}
+        self._slowdowns: dict[str, float] = {}
+        self._slowdowns_at = float("-inf")
         self._sequence = 0
 
     # Requests of this entry.
 
     def begin(self, target_id: str) -> None:
         """Count a request sent to a target."""
-        self._requests[target_id] = self._requests.get(target_id, 0) + 1
+        self._own_requests[target_id] = self._own_requests.get(target_id, 0) + 1
         self.on_change()
 
     def finish(self, target_id: str) -> None:
         """Remove an ended request from a target's count."""
-        left = self._requests.get(target_id, 0) - 1
-        if left > 0:
-            self._requests[target_id] = left
+        remaining = self._own_requests.get(target_id, 0) - 1
+        if remaining > 0:
+            self._own_requests[target_id] = remaining
         else:
-            self._requests.pop(target_id, None)
+            self._own_requests.pop(target_id, None)
         self.on_change()
 
     def open_requests(self) -> int:
         """Return the number of this entry's open requests."""
-        return sum(self._requests.values())
+        return sum(self._own_requests.values())
 
     # Other entries.
 
@@ -130,17 +130,19 @@
         self._sequence += 1
         loads = tuple(
             messages.OpenLoad(name, count)
-            for name, count in self._requests.items()
+            for name, count in self._own_requests.items()
+        )
+        queues = tuple(
+            q for q in self._own_queues.values() if q.timely or q.late
         )
-        queues = tuple(q for q in self._queues.values() if q.timely or q.late)
         return messages.Share(
             sequence=self._sequence, loads=loads, queues=queues
         )
 
     def note_queue(self, queue: messages.Queue) -> None:
         """Update the number of requests of a service that wait here."""
-        if self._queues.get(queue.service) != queue:
-            self._queues[queue.service] = queue
+        if self._own_queues.get(queue.service) != queue:
+            self._own_queues[queue.service] = queue
             self.on_change()
 
     def queue_elsewhere(self, service: str, now: float) -> messages.Queue:
@@ -161,35 +163,35 @@
         peer = self._peers.get(src)
         if peer is not None and msg.sequence <= peer.sequence:
             return
-        self.forget(src)
-        self._peers[src] = Peer(
+        self.remove_peer(src)
+        self._peers[src] = PeerLoad(
             sequence=msg.sequence,
-            heard_at=now,
+            received_at=now,
             counts={load.target_id: load.requests for load in msg.loads},
             queues={queue.service: queue for queue in msg.queues},
         )
-        self._elsewhere.update(self._peers[src].counts)
+        self._peer_requests.update(self._peers[src].counts)
         self._stale_at = min(self._stale_at, now + const.SHARE_STALE_SECONDS)
 
-    def forget(self, src: str) -> None:
+    def remove_peer(self, src: str) -> None:
         """Drop the load of an entry that has gone."""
         peer = self._peers.pop(src, None)
         if peer is None:
             return
         for target_id, count in peer.counts.items():
-            self._elsewhere[target_id] -= count
-            if not self._elsewhere[target_id]:
-                del self._elsewhere[target_id]
+            self._peer_requests[target_id] -= count
+            if not self._peer_requests[target_id]:
+                del self._peer_requests[target_id]
 
     def _drop_stale(self, now: float) -> None:
         """Drop the loads of entries that haven't sent any for too long."""
         if now < self._stale_at:
             return
         for src, peer in list(self._peers.items()):
-            if now - peer.heard_at >= const.SHARE_STALE_SECONDS:
-                self.forget(src)
-        heard = (peer.heard_at for peer in self._peers.values())
-        self._stale_at = min(heard, default=math.inf)
+            if now - peer.received_at >= const.SHARE_STALE_SECONDS:
+                self.remove_peer(src)
+        received = (peer.received_at for peer in self._peers.values())
+        self._stale_at = min(received, default=math.inf)
         self._stale_at += const.SHARE_STALE_SECONDS
 
     # Health.
@@ -201,20 +203,20 @@
             target_id: The target.
             seconds: Time to the first byte, seconds; None if unknown.
         """
-        health = self._health.setdefault(target_id, Health())
+        health = self._health.setdefault(target_id, TargetHealth())
         health.failures = 0
         health.ejected_until = 0.0
         health.eject_s = const.EJECT_SECONDS
         if seconds is None:
             return
-        if health.seconds == 0.0:
-            health.seconds = seconds
-        step = const.TIME_SMOOTHING * (seconds - health.seconds)
-        health.seconds += step
+        if health.first_byte_s == 0.0:
+            health.first_byte_s = seconds
+        step = const.TIME_SMOOTHING * (seconds - health.first_byte_s)
+        health.first_byte_s += step
 
     def failed(self, target_id: str, now: float, *, hard: bool) -> None:
         """Record a failure of a target; a hard one ejects it at once."""
-        health = self._health.setdefault(target_id, Health())
+        health = self._health.setdefault(target_id, TargetHealth())
         health.failures += 1
         if not hard and health.failures < const.EJECT_FAILURES:
             return
@@ -235,62 +237,64 @@
         now: float,
     ) -> records.Target | None:
         """Return the least loaded healthy target, None if there is none."""
-        fit = [t for t in targets if t.target_id not in exclude]
-        good = [t for t in fit if not self.ejected(t.target_id, now)]
-        least = len(fit) * (1 - const.EJECT_SHARE)
-        if len(good) < least or not good:
+        candidates = [t for t in targets if t.target_id not in exclude]
+        healthy = [t for t in candidates if not self.ejected(t.target_id, now)]
+        min_healthy = len(candidates) * (1 - const.EJECT_SHARE)
+        if len(healthy) < min_healthy or not healthy:
             # If most targets fail, the cause probably lies elsewhere.
-            good = fit
-        if not good:
+            healthy = candidates
+        if not healthy:
             return None
-        typical = self._typical_seconds(good)
-        counts = self._counts(good, now)
+        median_s = self._median_first_byte_s(healthy)
+        counts = self._count_open(healthy, now)
         costs = [
-            self._cost(target, count, typical, now)
-            for target, count in zip(good, counts, strict=True)
+            self._cost(target, count, median_s, now)
+            for target, count in zip(healthy, counts, strict=True)
         ]
         least_cost = min(costs)
         cheapest = [
             target
-            for target, cost in zip(good, costs, strict=True)
+            for target, cost in zip(healthy, costs, strict=True)
             if cost == least_cost
         ]
         return self._rng.choice(cheapest)
 
-    def loads(self, targets: list[records.Target], now: float) -> Loads:
+    def loads(self, targets: list[records.Target], now: float) -> TotalLoad:
         """Return the total load of targets.
 
         Computed in one pass over the targets, since this runs for each request
         and each tick.
         """
-        counts = self._counts(targets, now)
+        counts = self._count_open(targets, now)
         free = sum(
             max(0, target.slots - count)
             for target, count in zip(targets, counts, strict=True)
-            if self.pace_of(target, now) < const.PACE_MAX
+            if self.pace_of(target, now) < const.SLOWDOWN_MAX
         )
-        return Loads(open=sum(counts), free=free)
+        return TotalLoad(open=sum(counts), free=free)
 
-    def _counts(self, targets: list[records.Target], now: float) -> list[int]:
+    def _count_open(
+        self, targets: list[records.Target], now: float
+    ) -> list[int]:
         """Return the open requests of all entries at each target."""
         self._drop_stale(now)
-        own, elsewhere = self._requests, self._elsewhere
+        own, peers = self._own_requests, self._peer_requests
         return [
             own.get(target.target_id, 0)
-            + elsewhere.get(target.target_id, 0)
+            + peers.get(target.target_id, 0)
             + self.unknown_at(target.target_id, now)
             for target in targets
         ]
 
     def count_at(self, target_id: str, now: float) -> int:
         """Return the open requests of all entries at a target."""
-        known = self._known_count(target_id, now)
-        return known + self.unknown_at(target_id, now)
+        tracked = self._count_tracked(target_id, now)
+        return tracked + self.unknown_at(target_id, now)
 
     def unknown_at(self, target_id: str, now: float) -> int:
         """Return the requests at a target that no entry has reported."""
         report = self._reports.get(target_id)
-        if report is None or now - report.at > const.REPORT_SECONDS:
+        if report is None or now - report.at > const.REPORT_TTL_SECONDS:
             return 0
         return report.unknown
 
@@ -300,42 +304,42 @@
         Requests beyond the known ones come from entries that have gone or from
         other callers of the target.
         """
-        stated = report.running + report.waiting
-        unknown = max(0, stated - self._known_count(target_id, now))
-        self._reports[target_id] = Stated(unknown=unknown, at=now)
+        reported = report.running + report.waiting
+        unknown = max(0, reported - self._count_tracked(target_id, now))
+        self._reports[target_id] = UntrackedLoad(unknown=unknown, at=now)
 
     def on_paces(self, paces: dict[str, float], now: float) -> None:
         """Replace the slowdown factors of targets, by address."""
-        self._paces = paces
-        self._paces_at = now
+        self._slowdowns = paces
+        self._slowdowns_at = now
 
     def pace_of(self, target: records.Target, now: float) -> float:
         """Return the factor by which a target is slower than usual."""
-        if now - self._paces_at > const.PACE_SECONDS:
+        if now - self._slowdowns_at > const.SLOWDOWN_TTL_SECONDS:
             return 1.0
-        return self._paces.get(target.address, 1.0)
+        return self._slowdowns.get(target.address, 1.0)
 
-    def _known_count(self, target_id: str, now: float) -> int:
+    def _count_tracked(self, target_id: str, now: float) -> int:
         self._drop_stale(now)
-        own = self._requests.get(target_id, 0)
-        return own + self._elsewhere.get(target_id, 0)
+        own = self._own_requests.get(target_id, 0)
+        return own + self._peer_requests.get(target_id, 0)
 
     def _cost(
-        self, target: records.Target, count: int, typical: float, now: float
+        self, target: records.Target, count: int, median_s: float, now: float
     ) -> float:
         # The load of a slow target counts for more by its slowdown factor.
         cost = (count + 1) * self.pace_of(target, now) / max(target.slots, 1)
         health = self._health.get(target.target_id)
-        if health is not None and typical > 0:
-            if health.seconds > const.SLOW_FACTOR * typical:
+        if health is not None and median_s > 0:
+            if health.first_byte_s > const.SLOW_FACTOR * median_s:
                 cost += const.SLOW_COST
         return cost
 
-    def _typical_seconds(self, targets: list[records.Target]) -> float:
+    def _median_first_byte_s(self, targets: list[records.Target]) -> float:
         times = [
-            self._health[t.target_id].seconds
+            self._health[t.target_id].first_byte_s
             for t in targets
             if t.target_id in self._health
-            and self._health[t.target_id].seconds > 0
+            and self._health[t.target_id].first_byte_s > 0
         ]
         return statistics.median(times) if times else 0.0
--- a/jasperweir/components/balance/budget.py
+++ b/jasperweir/components/balance/budget.py
@@ -29,23 +29,23 @@
 
     def __init__(self, *, bounds: BudgetBounds) -> None:
         self._bounds = bounds
-        self._first: dict[str, collections.deque[float]] = {}
-        self._second: dict[str, collections.deque[float]] = {}
+        self._attempts: dict[str, collections.deque[float]] = {}
+        self._retries: dict[str, collections.deque[float]] = {}
 
     def count_first(self, service: str, now: float) -> None:
         """Count the first attempt of a request."""
-        self._recent(self._first, service, now).append(now)
+        self._recent(self._attempts, service, now).append(now)
 
     def take(self, service: str, entries: int, now: float) -> bool:
         """Take one retry from the budget; return whether one was left."""
-        first = self._recent(self._first, service, now)
-        second = self._recent(self._second, service, now)
-        share = const.BUDGET_SHARE
-        allowed = share * self._bounds.ratio * len(first)
+        attempts = self._recent(self._attempts, service, now)
+        retries = self._recent(self._retries, service, now)
+        share = const.RETRY_BUDGET_SHARE
+        allowed = share * self._bounds.ratio * len(attempts)
         allowed += share * self._bounds.burst / max(entries, 1)
-        if len(second) + 1 > allowed:
+        if len(retries) + 1 > allowed:
             return False
-        second.append(now)
+        retries.append(now)
         return True
 
     def _recent(
--- a/jasperweir/components/balance/const.py
+++ b/jasperweir/components/balance/const.py
@@ -16,14 +16,14 @@
 CELL_ENTRIES = 16
 # A cell with fewer targets than this sends to all targets of its data centre:
 # the fault of one target would affect a large part of its requests.
-HOME_TARGETS = 6
+CELL_TARGETS_MIN = 6
 # A load that a target reports is used for this long, seconds.
-REPORT_SECONDS = 1.0
+REPORT_TTL_SECONDS = 1.0
 
 # Reported slowdowns of targets are used for this long, seconds.
-PACE_SECONDS = 2.0
+SLOWDOWN_TTL_SECONDS = 2.0
 # The free slots of a target with this slowdown or more are not counted.
-PACE_MAX = 2.0
+SLOWDOWN_MAX = 2.0
 # Streams are moved away from a target with this slowdown or more: its whole
 # group waits in each pass for the slowest rank.
 MOVE_PACE = 3.0
@@ -46,22 +46,22 @@
 PASS_FIXED_FACTOR = 1.5
 # Pauses longer than this multiple of the longest allowed pause are stalls, not
 # passes.
-PASS_LONGEST = 4.0
+PASS_MAX_FACTOR = 4.0
 # Weight of a new reading in the smoothed duration of a pass.
 PASS_SMOOTHING = 0.6
 # The duration of a pass is used for this long, seconds.
-PASS_FRESH_SECONDS = 0.4
+PASS_TTL_SECONDS = 0.4
 # Passes shorter than this share of the longest allowed pause don't limit the
 # streams; the cost of a stream can't be estimated from them.
-PASS_CALM = 0.8
+PASS_UNLIMITED_SHARE = 0.8
 # New streams are admitted while passes take less than this share of the longest
 # allowed pause. Single passes are longer than the mean, and one that exceeds
 # the allowed pause delays every stream of the group.
-PASS_SHARE = 0.88
+PASS_ADMIT_SHARE = 0.88
 # Streams may always use this share of a target's slots. With a slow rank passes
 # stay long, and an entry that is cut off from others sees few of the streams
 # and overestimates the cost of each.
-PASS_LEAST_SHARE = 0.25
+STREAMS_MIN_SHARE = 0.25
 
 # A late request that has received nothing of its answer is admitted only while
 # fewer than this share of the slots are used, so that new requests stay in
@@ -70,11 +70,11 @@
 # The share of the slots that late requests may use in a group without recent
 # passes: it may have restarted with an expert map that doesn't fit, and its
 # passes would exceed the allowed pause.
-COLD_SHARE = 0.6
+LATE_STALE_SHARE = 0.6
 
 # Share of the retry budget that the entries use: request counts that are still
 # under way can't make them exceed the budget.
-BUDGET_SHARE = 0.6
+RETRY_BUDGET_SHARE = 0.6
 
 # Longest time that a first attempt waits for a slot, as a multiple of its
 # route's target time. If the forecast is longer it is refused at once and its
@@ -103,7 +103,7 @@
 # A caller that has used up at least this much of its route's usual time is
 # taken for one that retries, seconds: the shortest Retry-After delay less the
 # spread of network delays.
-RETURN_LEAST_SECONDS = 0.15
+RETRY_MIN_SECONDS = 0.15
 # An entry expects its configuration and its targets within this time after its
 # start, seconds; one that still lacks them later is cut off.
 START_SECONDS = 3.0
--- a/jasperweir/components/balance/forecast.py
+++ b/jasperweir/components/balance/forecast.py
@@ -83,13 +83,15 @@
     for_late = places - for_timely
     yielding = min(for_late, late_places)
     return Part(
-        timely=_drawn(for_timely, own.timely, others.timely, rng),
-        late=_drawn(for_late, own.late, others.late, rng),
-        yielding=_drawn(yielding, own.late, others.late, rng),
+        timely=_draw_share(for_timely, own.timely, others.timely, rng),
+        late=_draw_share(for_late, own.late, others.late, rng),
+        yielding=_draw_share(yielding, own.late, others.late, rng),
     )
 
 
-def _drawn(places: float, own: int, others: int, rng: random.Random) -> int:
+def _draw_share(
+    places: float, own: int, others: int, rng: random.Random
+) -> int:
     """Return this entry's share, rounded up or down at random.
 
     Args:
--- a/jasperweir/components/balance/late.py
+++ b/jasperweir/components/balance/late.py
@@ -26,9 +26,9 @@
         limit: Stream limit of their group, None if it has none.
         now: Monotonic seconds.
     """
-    most = float(slots)
+    capacity = float(slots)
     if limit is not None:
-        if limit.is_cold(now):
-            most *= const.COLD_SHARE
-        most = min(most, limit.streams(now) * targets)
-    return math.floor(const.LATE_SHARE * most)
+        if limit.is_stale(now):
+            capacity *= const.LATE_STALE_SHARE
+        capacity = min(capacity, limit.streams(now) * targets)
+    return math.floor(const.LATE_SHARE * capacity)
--- a/jasperweir/components/balance/neighbours.py
+++ b/jasperweir/components/balance/neighbours.py
@@ -18,25 +18,25 @@
 Targets = list[records.Target]
 
 
-class Sorted(NamedTuple):
+class GroupedTargets(NamedTuple):
     """Targets of a service, grouped for one entry.
 
     Attributes:
         targets: All targets.
-        by_place: Targets by data centre.
-        own: Targets of the entry's cell, or of its data centre if the cell has
-            too few.
-        kept: Share of its requests that the entry sends to its own data centre;
-            above 1 if that has spare slots.
-        spare: Share of the slots less share of the entries, by data centre, of
-            those where it is positive.
+        by_data_centre: Targets by data centre.
+        nearby: Targets of the entry's cell, or of its data centre if the cell
+            has too few.
+        local_share: Share of its requests that the entry sends to its own data
+            centre; above 1 if that has spare slots.
+        surplus: Share of the slots less share of the entries by data centre,
+            where positive.
     """
 
     targets: Targets
-    by_place: dict[str, Targets]
-    own: Targets
-    kept: float
-    spare: dict[str, float]
+    by_data_centre: dict[str, Targets]
+    nearby: Targets
+    local_share: float
+    surplus: dict[str, float]
 
 
 class Neighbours:
@@ -50,31 +50,33 @@
     def __init__(self, *, name: str, place: str) -> None:
         self.peers: tuple[records.Node, ...] = ()
         self.name = name
-        self._place = place
+        self._data_centre = place
         # Number of entries by data centre; empty in a small system.
-        self._entries: collections.Counter[str] = collections.Counter()
-        self._cells = 1
-        self._cell = 0
+        self._entry_counts: collections.Counter[str] = collections.Counter()
+        self._cell_count = 1
+        self._own_cell = 0
         # Cached grouping of the last targets.
-        self._sorted: Sorted | None = None
+        self._grouped: GroupedTargets | None = None
 
     def on_entries(self, entries: tuple[records.Node, ...]) -> None:
         """Update the cell from the list of all entries."""
         others = [node for node in entries if node.name != self.name]
-        self._sorted = None
-        self._entries.clear()
+        self._grouped = None
+        self._entry_counts.clear()
         if len(others) < const.MESH_ENTRIES:
             self.peers = tuple(others)
             return
-        self._entries.update(node.place for node in others)
-        self._entries[self._place] += 1
-        self._cells = max(1, self._entries[self._place] // const.CELL_ENTRIES)
-        self._cell = self._cell_of(self.name)
+        self._entry_counts.update(node.place for node in others)
+        self._entry_counts[self._data_centre] += 1
+        self._cell_count = max(
+            1, self._entry_counts[self._data_centre] // const.CELL_ENTRIES
+        )
+        self._own_cell = self._find_cell(self.name)
         self.peers = tuple(
             node
             for node in others
-            if node.place == self._place
-            and self._cell_of(node.name) == self._cell
+            if node.place == self._data_centre
+            and self._find_cell(node.name) == self._own_cell
         )
 
     def home(self, targets: Targets, draw: float) -> Targets:
@@ -88,58 +90,67 @@
             Targets of the cell or of another data centre with spare slots; all
             targets in a small system or if these are too few.
         """
-        if not self._entries:
+        if not self._entry_counts:
             return targets
-        known = self._sorted
-        if known is None or known.targets is not targets:
-            known = self._sort(targets)
-            self._sorted = known
-        place = self._pick_place(known, draw)
-        near = known.own if place == self._place else known.by_place[place]
+        grouped = self._grouped
+        if grouped is None or grouped.targets is not targets:
+            grouped = self._group_targets(targets)
+            self._grouped = grouped
+        place = self._pick_data_centre(grouped, draw)
+        near = (
+            grouped.nearby
+            if place == self._data_centre
+            else grouped.by_data_centre[place]
+        )
         # Among few targets a faulty one would get a large part of the requests.
-        return near if len(near) >= const.HOME_TARGETS else targets
+        return near if len(near) >= const.CELL_TARGETS_MIN else targets
 
-    def _sort(self, targets: Targets) -> Sorted:
-        by_place: dict[str, Targets] = {self._place: []}
+    def _group_targets(self, targets: Targets) -> GroupedTargets:
+        by_data_centre: dict[str, Targets] = {self._data_centre: []}
         for target in targets:
-            by_place.setdefault(target.place, []).append(target)
-        near = by_place[self._place]
-        own = [t for t in near if self._cell_of(t.address) == self._cell]
-        if len(own) < const.HOME_TARGETS:
-            own = near
+            by_data_centre.setdefault(target.place, []).append(target)
+        local = by_data_centre[self._data_centre]
+        nearby = [
+            t for t in local if self._find_cell(t.address) == self._own_cell
+        ]
+        if len(nearby) < const.CELL_TARGETS_MIN:
+            nearby = local
         slots = {
             place: sum(target.slots for target in found)
-            for place, found in by_place.items()
+            for place, found in by_data_centre.items()
         }
         total = max(sum(slots.values()), 1)
-        entries = max(self._entries.total(), 1)
-        spare = {
-            place: count / total - self._entries[place] / entries
+        entries = max(self._entry_counts.total(), 1)
+        surplus = {
+            place: count / total - self._entry_counts[place] / entries
             for place, count in sorted(slots.items())
         }
-        kept = slots[self._place] / total
-        return Sorted(
+        local_slots = slots[self._data_centre] / total
+        return GroupedTargets(
             targets=targets,
-            by_place=by_place,
-            own=own,
-            kept=kept / (self._entries[self._place] / entries),
-            spare={place: share for place, share in spare.items() if share > 0},
+            by_data_centre=by_data_centre,
+            nearby=nearby,
+            local_share=local_slots
+            / (self._entry_counts[self._data_centre] / entries),
+            surplus={
+                place: share for place, share in surplus.items() if share > 0
+            },
         )
 
-    def _pick_place(self, known: Sorted, draw: float) -> str:
+    def _pick_data_centre(self, grouped: GroupedTargets, draw: float) -> str:
         """Return the own data centre, or one with spare slots."""
-        if draw < known.kept:
-            return self._place
+        if draw < grouped.local_share:
+            return self._data_centre
         # Rescale the draw, which is uniform above this bound, to 0 to 1.
-        left = (draw - known.kept) / (1 - known.kept)
-        left *= sum(known.spare.values())
-        for place, share in known.spare.items():
-            left -= share
-            if left < 0:
+        rest = (draw - grouped.local_share) / (1 - grouped.local_share)
+        rest *= sum(grouped.surplus.values())
+        for place, share in grouped.surplus.items():
+            rest -= share
+            if rest < 0:
                 return place
-        return self._place
+        return self._data_centre
 
-    def _cell_of(self, name: str) -> int:
-        if self._cells < 2:
+    def _find_cell(self, name: str) -> int:
+        if self._cell_count < 2:
             return 0
-        return hashing.stable(name) % self._cells
+        return hashing.stable(name) % self._cell_count
--- a/jasperweir/components/balance/outage.py
+++ b/jasperweir/components/balance/outage.py
@@ -14,16 +14,16 @@
 
     def __init__(self) -> None:
         self._refusals = 0
-        self._needed = const.OUTAGE_REFUSALS
+        self._min_refusals = const.OUTAGE_REFUSALS
         self._refused_at = float("-inf")
         self._probed_at = float("-inf")
         # Time of the first request sent since the last refusal.
-        self._sent_at = float("-inf")
+        self._first_sent_at = float("-inf")
 
     def on_sent(self, now: float) -> None:
         """Record that a request is sent to a target."""
-        if self._sent_at <= self._refused_at:
-            self._sent_at = now
+        if self._first_sent_at <= self._refused_at:
+            self._first_sent_at = now
 
     def seems_over(self, now: float) -> bool:
         """Return whether targets seem to accept requests again.
@@ -34,20 +34,20 @@
         Applies only to targets that refuse at once: a group that has lost a
         rank holds a request up before it refuses.
         """
-        if self._sent_at <= self._refused_at:
+        if self._first_sent_at <= self._refused_at:
             return False
-        return now - self._sent_at >= const.START_TAKEN_SECONDS
+        return now - self._first_sent_at >= const.START_TAKEN_SECONDS
 
     def on_refusal(
-        self, now: float, needed: int = const.OUTAGE_REFUSALS
+        self, now: float, min_refusals: int = const.OUTAGE_REFUSALS
     ) -> bool:
         """Count a refusal; return whether it begins an outage.
 
         Args:
             now: Monotonic seconds.
-            needed: Refusals in a row that make an outage.
+            min_refusals: Refusals in a row that make an outage.
         """
-        self._needed = needed
+        self._min_refusals = min_refusals
         before = self.lasts(now)
         if now - self._refused_at > const.OUTAGE_SILENT_SECONDS:
             self._refusals = 0
@@ -65,7 +65,7 @@
         """Return whether all recent requests were refused."""
         if now - self._refused_at > const.OUTAGE_SILENT_SECONDS:
             return False
-        return self._refusals >= self._needed
+        return self._refusals >= self._min_refusals
 
     def take_probe(
         self, now: float, every_s: float = const.OUTAGE_PROBE_SECONDS
--- a/jasperweir/components/balance/passes.py
+++ b/jasperweir/components/balance/passes.py
@@ -47,15 +47,15 @@
         self._pauses: list[float] = []
         # Time that one stream per target adds to a pass, seconds; 0 while
         # passes are short.
-        self._cost_s = 0.0
-        self._heard_at = float("-inf")
+        self._stream_cost_s = 0.0
+        self._updated_at = float("-inf")
 
     def on_pause(self, seconds: float) -> None:
         """Record the pause between two events of a stream."""
         self._pauses.append(seconds)
 
     @property
-    def is_due(self) -> bool:
+    def has_pauses(self) -> bool:
         """Whether pauses were recorded since the last update."""
         return bool(self._pauses)
 
@@ -67,33 +67,38 @@
             now: Monotonic seconds.
         """
         # Longer pauses are stalls or lost connections, not passes.
-        longest_s = const.PASS_LONGEST * self.bounds.pause_s
-        usual = [pause for pause in self._pauses if pause <= longest_s]
+        max_pause_s = const.PASS_MAX_FACTOR * self.bounds.pause_s
+        valid = [pause for pause in self._pauses if pause <= max_pause_s]
         self._pauses.clear()
-        if not usual:
+        if not valid:
             return
-        mean_s = sum(usual) / len(usual)
-        if now - self._heard_at > const.PASS_FRESH_SECONDS:
+        mean_s = sum(valid) / len(valid)
+        if now - self._updated_at > const.PASS_TTL_SECONDS:
             self.pass_s = mean_s
-        self._heard_at = now
+        self._updated_at = now
         self.pass_s += const.PASS_SMOOTHING * (mean_s - self.pass_s)
-        self._cost_s = 0.0
-        if self.pass_s >= const.PASS_CALM * self.bounds.pause_s and streams > 0:
-            self._cost_s = (self.pass_s - self.bounds.fixed_s) / streams
-
-    def is_cold(self, now: float) -> bool:
+        self._stream_cost_s = 0.0
+        if (
+            self.pass_s >= const.PASS_UNLIMITED_SHARE * self.bounds.pause_s
+            and streams > 0
+        ):
+            self._stream_cost_s = (self.pass_s - self.bounds.fixed_s) / streams
+
+    def is_stale(self, now: float) -> bool:
         """Return whether there are no recent passes."""
-        return now - self._heard_at > const.PASS_FRESH_SECONDS
+        return now - self._updated_at > const.PASS_TTL_SECONDS
 
     def streams(self, now: float) -> float:
         """Return the limit of streams per target, infinite if unlimited."""
-        if self.is_cold(now):
+        if self.is_stale(now):
             return math.inf
-        if self._cost_s <= 0:
+        if self._stream_cost_s <= 0:
             return math.inf
-        room_s = const.PASS_SHARE * self.bounds.pause_s - self.bounds.fixed_s
-        least = const.PASS_LEAST_SHARE * self.bounds.slots
-        return max(room_s / self._cost_s, least)
+        available_s = (
+            const.PASS_ADMIT_SHARE * self.bounds.pause_s - self.bounds.fixed_s
+        )
+        min_streams = const.STREAMS_MIN_SHARE * self.bounds.slots
+        return max(available_s / self._stream_cost_s, min_streams)
 
 
 class PassLimits:
@@ -130,4 +135,4 @@
 
     def due(self) -> list[tuple[str, PassLimit]]:
         """Return the services and limits that need an update."""
-        return [item for item in self._limits.items() if item[1].is_due]
+        return [item for item in self._limits.items() if item[1].has_pauses]
--- a/jasperweir/components/balance/patience.py
+++ b/jasperweir/components/balance/patience.py
@@ -12,7 +12,7 @@
     """Longest time that callers of each route have stated, seconds."""
 
     def __init__(self) -> None:
-        self._longest: dict[str, float] = {}
+        self._longest_by_route: dict[str, float] = {}
 
     def used(self, route: model.Route, stated_s: float | None) -> float:
         """Return the estimated time that a caller has already waited.
@@ -29,9 +29,9 @@
         """
         if stated_s is None:
             return 0.0
-        longest_s = max(self._longest.get(route.name, 0.0), stated_s)
-        self._longest[route.name] = longest_s
+        longest_s = max(self._longest_by_route.get(route.name, 0.0), stated_s)
+        self._longest_by_route[route.name] = longest_s
         used_s = min(longest_s, route.timeout_s) - min(
             stated_s, route.timeout_s
         )
-        return used_s if used_s >= const.RETURN_LEAST_SECONDS else 0.0
+        return used_s if used_s >= const.RETRY_MIN_SECONDS else 0.0
