--- a/features/recovery.feature
+++ b/features/recovery.feature
@@ -5,9 +5,9 @@
     When they are looked for as by default, and without opening anew
     Then by default they are found in less than 0.6 of the time
 
-  Scenario Outline: What comes before the configuration is kept by an entry that has just started
+  Scenario Outline: An entry that has just started holds requests until its configuration arrives
     Given an entry that has run for <age> s and has no configuration
-    When a request comes, and 0.5 s later the configuration
+    When a request arrives, and 0.5 s later the configuration
     Then the request is <outcome>
 
     Examples:
@@ -16,9 +16,9 @@
       | 2.9 | sent            |
       | 4   | refused at once |
 
-  Scenario Outline: What comes before any target is known is kept by an entry that has just started
+  Scenario Outline: An entry that has just started holds requests until it knows a target
     Given an entry that has run for <age> s and knows no targets
-    When a request comes, and 0.5 s later a target
+    When a request arrives, and 0.5 s later a target
     Then the request is <outcome>
 
     Examples:
@@ -27,32 +27,32 @@
       | 2.9 | sent            |
       | 4   | refused at once |
 
-  Scenario Outline: The time for which a request was kept is not handed to its target
+  Scenario Outline: The time for which a request was held is deducted for its target
     Given an entry that has run for 0.2 s and <lacks>
-    When a request comes, and 0.5 s later <what>
-    Then its target is told of 0.5 s less than its caller waits
+    When a request arrives, and 0.5 s later <what>
+    Then its target receives a remaining time 0.5 s shorter
 
     Examples:
       | lacks                | what              |
       | has no configuration | the configuration |
       | knows no targets     | a target          |
 
-  Scenario Outline: Nothing is kept for longer than its caller can use
+  Scenario Outline: A request is held only for as long as its caller waits
     Given an entry that has run for 0.2 s and <lacks>
-    When a request comes, and nothing else for <seconds> s
+    When a request arrives, and nothing else for <seconds> s
     Then the request is <outcome>
 
     Examples:
       | lacks                | seconds | outcome      |
-      | has no configuration | 1.1     | still kept   |
+      | has no configuration | 1.1     | still held   |
       | has no configuration | 1.3     | refused late |
-      | knows no targets     | 1.1     | still kept   |
+      | knows no targets     | 1.1     | still held   |
       | knows no targets     | 1.3     | refused late |
 
-  Scenario: Kept requests are bounded in number
+  Scenario: The number of held requests is bounded
     Given an entry that has run for 0.2 s and has no configuration
-    When 600 requests come
-    Then 512 of them are kept and the others are refused at once
+    When 600 requests arrive at once
+    Then 512 of them are held and the others are refused at once
 
   Scenario Outline: The lead is taken soon after all voters have started again
     Given <count> voters that lose power and start again within 0.15 s, 60 times
@@ -74,54 +74,54 @@
     Given 3 voters of which one does not hear the leader, and the other starts anew, 200 times
     Then no two of them held a lease at the same time
 
-  Scenario Outline: A crowd that is late already leaves room for those who come
-    Given a group that begins anew, and <crowd> requests that are late already
-    When <rate> requests a second come meanwhile for 3 s, over 20 seeds
-    Then at least a quarter of them more are in time than without room for them
-    And at least 0.98 of the crowd are served, at their second try at the latest
+  Scenario Outline: Many late requests leave slots for new requests
+    Given a group that has restarted, and <late> late requests
+    When <rate> new requests a second arrive for 3 s, over 20 seeds
+    Then the share of new requests in time is at least 25 points higher than without a limit for late ones
+    And at least 0.98 of the late requests are served, at the latest on a retry
 
     Examples:
-      | crowd | rate |
+      | late  | rate |
       | 60    | 20   |
       | 60    | 28   |
       | 90    | 20   |
       | 90    | 28   |
 
-  Scenario: A few that are late already are all served
-    Given a group that begins anew, and 30 requests that are late already
-    When 20 requests a second come meanwhile for 3 s, over 20 seeds
-    Then at least 0.99 of the crowd are served, at their second try at the latest
+  Scenario: A few late requests are all served
+    Given a group that has restarted, and 30 late requests
+    When 20 new requests a second arrive for 3 s, over 20 seeds
+    Then at least 0.99 of the late requests are served, at the latest on a retry
 
-  Scenario Outline: Up to how many open requests one that is late gets a place
+  Scenario Outline: Number of open requests up to which a late one is admitted
     Given 12 targets with 6 slots each, <group>
-    Then one that is late gets a place while fewer than <most> are open
+    Then a late request gets a slot while fewer than <most> are open
 
     Examples:
       | group                                     | most |
-      | that make no passes together              | 61   |
+      | that run no passes together               | 61   |
       | whose passes are short                    | 61   |
       | whose passes allow 4 streams a target     | 40   |
       | that have shown no pass                   | 36   |
 
-  Scenario Outline: Only those leave room who are late with nothing of their answer
+  Scenario Outline: Only late requests without a part of their answer wait
     Given a queue with a request that is <state>
-    When 2 places are free, of which none is for those who leave room
-    Then the request that waits <goes>
+    When 2 slots are free, of which none is for late requests
+    Then the waiting request <outcome>
 
     Examples:
-      | state             | goes            |
-      | late              | goes on waiting |
-      | in time           | gets a place    |
-      | late and resumed  | gets a place    |
-
-  Scenario: The last free place goes to who resumes an answer, not to who is late
-    Given an entry whose targets are all busy, where a first try waits until it is late
-    When a request waits there that resumes an answer, and one place becomes free
-    Then the one that resumes gets it
-
-  Scenario Outline: Who is refused while groups still form waits at an entry that has just started
-    Given an entry that has run for <age> s, whose targets refuse everything
-    When 4 requests come, and 0.4 s later the targets accept again
+      | state             | outcome         |
+      | late              | still waits     |
+      | in time           | gets a slot     |
+      | late and resumed  | gets a slot     |
+
+  Scenario: The last free slot goes to a resumed request, not to a late one
+    Given an entry whose targets are all busy, where a first attempt waits until it is late
+    When a request that resumes an answer waits too, and one slot becomes free
+    Then the request that resumes gets it
+
+  Scenario Outline: An entry that has just started holds requests while groups still form
+    Given an entry that has run for <age> s, whose targets refuse requests
+    When 4 requests arrive, and 0.4 s later the targets accept
     Then <served> of them are answered by targets and <refused> refused
 
     Examples:
@@ -129,17 +129,17 @@
       | 0.3 | 4      | 0       |
       | 4   | 0      | 4       |
 
-  Scenario Outline: Targets that do not refuse what was sent have taken it
+  Scenario Outline: A request that is not refused soon has been accepted
     Given 3 refusals within 0.1 s, and a request that is sent 0.1 s later
     When <seconds> s pass and it is <refused>
     Then the outage <outage>
 
     Examples:
-      | seconds | refused     | outage        |
-      | 0.03    | not refused | still lasts   |
-      | 0.07    | not refused | seems to be over |
-      | 0.03    | refused     | still lasts   |
-      | 0.07    | refused     | still lasts   |
+      | seconds | refused     | outage      |
+      | 0.03    | not refused | still lasts |
+      | 0.07    | not refused | seems over  |
+      | 0.03    | refused     | still lasts |
+      | 0.07    | refused     | still lasts |
 
   Scenario: The first frame for a node waits until its connection is up
     Given 8 nodes that have not been talked to yet
@@ -151,9 +151,9 @@
     When each of them is sent one frame 0.5 s before it comes up
     Then none of them has got it
 
-  Scenario Outline: Who is late leaves room only at an entry that has just started
-    Given an entry that has run for <age> s with one free place of six
-    When a request comes that was late before it came
+  Scenario Outline: Late requests are limited only at an entry that has just started
+    Given an entry that has run for <age> s with one free slot of six
+    When a request arrives that is already late
     Then it <goes> at once
 
     Examples:
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -1,4 +1,4 @@
-"""Steps on who is let in, who waits and who is refused under load."""
+"""Steps on admission, waiting and refusal of requests under load."""
 
 import math
 import random
@@ -7,7 +7,7 @@
 from behave import then
 from behave import when
 
-from features.harness import waves
+from features.harness import group_simulation
 from features.steps import forward_steps
 from jasperweir.components.balance import balancer
 from jasperweir.components.balance import forecast
@@ -17,7 +17,7 @@
 from jasperweir.components.deployment import index
 from jasperweir.components.deployment import model
 
-FIXED = 0.027
+FIXED_SECONDS = 0.027
 SLOTS = 6
 
 
@@ -25,7 +25,9 @@
     "a group of {engines:d} engines whose callers allow pauses of {pause:g} s"
 )
 def step_group(context, engines, pause):
-    bounds = passes.PassBounds(pause_s=pause, fixed_s=FIXED, slots=SLOTS)
+    bounds = passes.PassBounds(
+        pause_s=pause, fixed_s=FIXED_SECONDS, slots=SLOTS
+    )
     context.limit = passes.PassLimit(bounds=bounds)
     context.engines = engines
     context.now = 50.0
@@ -50,28 +52,29 @@
     context.now += seconds
 
 
-def allowed(context):
+def allowed_streams(context):
+    """Return the limit of streams of the group."""
     return context.limit.streams(context.now) * context.engines
 
 
 @then("there is no limit")
 def step_no_limit(context):
-    assert math.isinf(allowed(context)), allowed(context)
+    assert math.isinf(allowed_streams(context)), allowed_streams(context)
 
 
 @then("at most {most:d} streams may run")
 def step_most(context, most):
-    assert allowed(context) <= most, allowed(context)
+    assert allowed_streams(context) <= most, allowed_streams(context)
 
 
 @then("at least {least:d} streams may run")
 def step_least(context, least):
-    assert allowed(context) >= least, allowed(context)
+    assert allowed_streams(context) >= least, allowed_streams(context)
 
 
 @then("between {least:d} and {most:d} streams may run")
 def step_between(context, least, most):
-    assert least <= allowed(context) <= most, allowed(context)
+    assert least <= allowed_streams(context) <= most, allowed_streams(context)
 
 
 @given("routes to a group that allow pauses of {one:g} s and of {two:g} s")
@@ -105,14 +108,16 @@
     context.bounds = index.Index(deployment=deployment).passes()
 
 
-@then("its passes are to stay below {pause:g} s")
+@then("its passes must stay below {pause:g} s")
 def step_below(context, pause):
     assert context.bounds["s"].pause_s == pause, context.bounds
-    assert abs(context.bounds["s"].fixed_s - FIXED) < 1e-9, context.bounds
+    assert abs(context.bounds["s"].fixed_s - FIXED_SECONDS) < 1e-9, (
+        context.bounds
+    )
 
 
-@given("a group whose passes follow what was measured on one of 12 engines")
-def step_measured(context):
+@given("a simulated group of 12 engines")
+def step_simulated(context):
     context.seeds = range(4)
 
 
@@ -120,10 +125,12 @@
     "{rate:d} requests a second arrive for {seconds:d} seconds and demand "
     "jumps each {gap:g} s"
 )
-def step_waves(context, rate, seconds, gap):
+def step_demand_jumps(context, rate, seconds, gap):
     context.shares = {
         limited: sum(
-            waves.load(rate, seconds, gap, limited=limited, seed=seed)
+            group_simulation.simulate_load(
+                rate, seconds, gap, limited=limited, seed=seed
+            )
             for seed in context.seeds
         )
         / len(context.seeds)
@@ -131,26 +138,28 @@
     }
 
 
-@then("with the limit {more:d} more of 100 are in time than without it")
+@then("with the limit the share in time is at least {more:d} points higher")
 def step_in_time(context, more):
     shares = context.shares
     assert (shares[True] - shares[False]) * 100 >= more, shares
 
 
 @given(
-    "requests that came {one:g}, {two:g} and {three:g} s ago and are to be "
-    "answered in {target:g} s"
+    "requests that arrived {one:g}, {two:g} and {three:g} s ago with a target "
+    "time of {target:g} s"
 )
-def step_came(context, one, two, three, target):
+def step_arrived(context, one, two, three, target):
     context.ages = (one, two, three)
     context.gate = gate.Gate()
     for number, age in enumerate(context.ages):
-        came = 10.0 - age
-        waiting = gate.Waiting(1, came, number, 99.0, came, came + target)
+        arrived = 10.0 - age
+        waiting = gate.Waiting(
+            1, arrived, number, 99.0, arrived, arrived + target
+        )
         context.gate.wait(waiting)
 
 
-@when("one place after the other becomes free")
+@when("one slot after the other becomes free")
 def step_one_after(context):
     context.order = []
     while len(context.gate):
@@ -165,30 +174,30 @@
 
 
 @given("requests that run for {whole:g} s")
-def step_whole(context, whole):
+def step_duration(context, whole):
     context.forecast = forecast.Forecast()
     for _ in range(5):
         context.forecast.on_end(whole, 0.2)
 
 
-@when("{running:d} of them run and {ahead:d} others wait for a place")
+@when("{running:d} of them run and {ahead:d} others wait for a slot")
 def step_ahead(context, running, ahead):
     context.wait = context.forecast.wait_s(ahead=ahead, running=running)
 
 
-@then("a place is foreseen in {wait:g} s")
-def step_foreseen(context, wait):
+@then("the forecast wait for a slot is {wait:g} s")
+def step_forecast(context, wait):
     assert abs(context.wait - wait) < 1e-9, context.wait
 
 
-@given("a first try of a route that is to answer in {target:g} s and has 8 s")
-def step_first_try(context, target):
+@given("a first attempt with a target time of {target:g} s and 8 s left")
+def step_first_attempt(context, target):
     context.life = forward_steps.life_of("resumable", patience_s=8.0)
     route = context.life.match.route._replace(target_s=target)
     context.life.match = context.life.match._replace(route=route)
 
 
-@when("a place is foreseen in {wait:g} s")
+@when("the forecast wait for a slot is {wait:g} s")
 def step_expects(context, wait):
     context.waits = context.life.expect_wait(wait)
 
@@ -196,8 +205,8 @@
 @then("it waits for {seconds:g} s")
 def step_waits(context, seconds):
     assert context.waits
-    got = context.life.waits_until - context.life.arrived
-    assert abs(got - seconds) < 1e-9, got
+    wait_s = context.life.waits_until - context.life.arrived
+    assert abs(wait_s - seconds) < 1e-9, wait_s
 
 
 @then("it is refused at once")
@@ -206,10 +215,10 @@
 
 
 @given(
-    "another entry has told of {timely:d} requests in time and {late:d} late "
-    "ones"
+    "another entry has reported {timely:d} waiting requests in time and "
+    "{late:d} late ones"
 )
-def step_told(context, timely, late):
+def step_reported(context, timely, late):
     context.balancer = balancer.Balancer(rng=random.Random(1))
     context.now = 10.0
     share = messages.Share(
@@ -218,8 +227,8 @@
     context.balancer.on_share("e2", share, context.now)
 
 
-@when("{seconds:g} seconds pass without news of it")
-def step_no_news(context, seconds):
+@when("{seconds:g} seconds pass without a report of it")
+def step_no_report(context, seconds):
     context.now += seconds
 
 
--- a/features/steps/starting_steps.py
+++ b/features/steps/starting_steps.py
@@ -1,4 +1,4 @@
-"""Steps of entries that have just started."""
+"""Steps on entries that have just started."""
 
 import asyncio
 
@@ -11,31 +11,31 @@
 from jasperweir.components.balance import const
 from jasperweir.components.balance import outage
 
-CALLER_WAITS = 5.0
-# An entry ticks this often while anybody waits, seconds.
-TICK = 0.02
+CALLER_WAIT_SECONDS = 5.0
+# Interval between two ticks of an entry while requests wait.
+TICK_SECONDS = 0.02
 
 
-class Noting(hop.Dialect):
-    """Note how much time a target is told to have."""
+class RecordingDialect(hop.Dialect):
+    """Records the remaining time that is sent to a target."""
 
     def __init__(self):
-        self.told_s = None
+        self.patience_s = None
 
     def dispatch(self, req, sent):
-        self.told_s = sent.patience_s
+        self.patience_s = sent.patience_s
         return super().dispatch(req, sent)
 
 
-class Start:
-    """An entry on a clock of its own, without what it needs."""
+class StartingEntry:
+    """An entry on a manual clock that lacks its configuration or targets."""
 
     def __init__(self, *, age_s, lacks):
         self.clock = core.ManualClock(start=100.0)
         self.lacks = lacks
         self.age_s = age_s
         self.one = hop.Hop(route=hop.route(), clock=self.clock)
-        self.dialect = Noting()
+        self.dialect = RecordingDialect()
 
     async def prepare(self):
         await self.one.prepare()
@@ -46,13 +46,13 @@
             entry.index = self.index
         self.clock.now += self.age_s
 
-    def bring(self):
-        """Bring what is missing."""
+    def provide(self):
+        """Provide the configuration and a target."""
         self.one.forwarder.index = self.index
         self.one.announce("other", self.one.other)
 
-    async def passes(self, seconds):
-        """Let time pass with a tick at its end."""
+    async def advance(self, seconds):
+        """Advance the clock and tick."""
         self.clock.now += seconds
         self.one.forwarder.tick()
         await asyncio.sleep(hop.SETTLE_SECONDS)
@@ -60,76 +60,84 @@
 
 @given("an entry that has run for {age_s:g} s and {lacks}")
 def step_entry(context, age_s, lacks):
-    context.start = Start(age_s=age_s, lacks=lacks)
+    context.start = StartingEntry(age_s=age_s, lacks=lacks)
 
 
-async def come(start, *, count=1, brings, seconds):
-    """Let requests come, and time pass; return what became of them."""
+async def send_requests(start, *, count=1, provides, seconds):
+    """Send requests, advance the clock and return the outcome.
+
+    Returns:
+        Requests answered at once, sent to the target, and answered later.
+    """
     await start.prepare()
     answers = [hop.Answering() for _ in range(count)]
     for answering in answers:
         start.one.forwarder.handle(answering)
     at_once = sum(answering.done for answering in answers)
     start.clock.now += seconds
-    if brings:
-        start.bring()
-    await start.passes(0.0)
+    if provides:
+        start.provide()
+    await start.advance(0.0)
     sent = start.one.other.requests
     later = sum(answering.done for answering in answers) - at_once
     start.one.close()
     return at_once, sent, later
 
 
-@when("a request comes, and {seconds:g} s later {what}")
-def step_comes(context, seconds, what):
-    context.became = asyncio.run(
-        come(context.start, brings=True, seconds=seconds)
+@when("a request arrives, and {seconds:g} s later {what}")
+def step_request_then(context, seconds, what):
+    context.outcome = asyncio.run(
+        send_requests(context.start, provides=True, seconds=seconds)
     )
 
 
-@when("a request comes, and nothing else for {seconds:g} s")
+@when("a request arrives, and nothing else for {seconds:g} s")
 def step_nothing_else(context, seconds):
-    context.became = asyncio.run(
-        come(context.start, brings=False, seconds=seconds)
+    context.outcome = asyncio.run(
+        send_requests(context.start, provides=False, seconds=seconds)
     )
 
 
-@when("{count:d} requests come")
+@when("{count:d} requests arrive at once")
 def step_many(context, count):
     context.count = count
-    context.became = asyncio.run(
-        come(context.start, count=count, brings=False, seconds=0.0)
+    context.outcome = asyncio.run(
+        send_requests(context.start, count=count, provides=False, seconds=0.0)
     )
 
 
 @then("the request is {outcome}")
 def step_outcome(context, outcome):
-    at_once, sent, later = context.became
+    at_once, sent, later = context.outcome
     seen = {
         "sent": (at_once, sent) == (0, 1),
         "refused at once": (at_once, sent) == (1, 0),
-        "still kept": (at_once, sent, later) == (0, 0, 0),
+        "still held": (at_once, sent, later) == (0, 0, 0),
         "refused late": (at_once, sent, later) == (0, 0, 1),
     }
-    assert seen[outcome], context.became
+    assert seen[outcome], context.outcome
 
 
-@then("its target is told of {seconds:g} s less than its caller waits")
-def step_told(context, seconds):
-    told_s = context.start.dialect.told_s
-    assert told_s is not None, "nothing was sent"
-    assert CALLER_WAITS - seconds - 0.1 < told_s <= CALLER_WAITS - seconds
+@then("its target receives a remaining time {seconds:g} s shorter")
+def step_remaining_time(context, seconds):
+    patience_s = context.start.dialect.patience_s
+    assert patience_s is not None, "nothing was sent"
+    assert (
+        CALLER_WAIT_SECONDS - seconds - 0.1
+        < patience_s
+        <= CALLER_WAIT_SECONDS - seconds
+    )
 
 
-@then("{kept:d} of them are kept and the others are refused at once")
-def step_kept(context, kept):
-    at_once, _, _ = context.became
-    assert at_once == context.count - kept, at_once
-    assert kept == const.START_KEPT_MOST
+@then("{held:d} of them are held and the others are refused at once")
+def step_held(context, held):
+    at_once, _, _ = context.outcome
+    assert at_once == context.count - held, at_once
+    assert held == const.START_KEPT_MOST
 
 
-class Forming(hop.Target):
-    """Refuse everything until told that the group has formed."""
+class FormingTarget(hop.Target):
+    """Refuses every request until its group has formed."""
 
     def __init__(self):
         super().__init__(stops_after=hop.EVENTS)
@@ -149,57 +157,58 @@
         writer.close()
 
 
-class Refusing(hop.Dialect):
-    """Read a 503 of a target as its word that it did not run the request."""
+class NotRunDialect(hop.Dialect):
+    """Reads a 503 of a target as proof that the request was not run."""
 
     def target_head(self, head):
         not_run = head.status == 503
         return super().target_head(head)._replace(not_run=not_run)
 
 
-async def form(age_s, count, seconds):
-    """Return how many requests were answered, and how many refused."""
+async def send_until_formed(age_s, count, seconds):
+    """Return how many requests were answered whole, and how many ended."""
     clock = core.ManualClock(start=100.0)
     one = hop.Hop(route=hop.route(), clock=clock)
-    one.other = Forming()
+    one.other = FormingTarget()
     await one.prepare()
-    one.forwarder.dialect = Refusing()
+    one.forwarder.dialect = NotRunDialect()
     one.announce("other", one.other)
     clock.now += age_s
     answers = [hop.Answering() for _ in range(count)]
     for answering in answers:
         one.forwarder.handle(answering)
-        await asyncio.sleep(TICK)
-    await ticks(one, clock, seconds)
+        await asyncio.sleep(TICK_SECONDS)
+    await run_ticks(one, clock, seconds)
     one.other.formed = True
-    await ticks(one, clock, 0.5)
+    await run_ticks(one, clock, 0.5)
     one.close()
     whole = sum(answering.whole for answering in answers)
     return whole, sum(answering.done for answering in answers)
 
 
-async def ticks(one, clock, seconds):
-    for _ in range(round(seconds / TICK)):
-        clock.now += TICK
+async def run_ticks(one, clock, seconds):
+    """Advance the clock in steps of one tick."""
+    for _ in range(round(seconds / TICK_SECONDS)):
+        clock.now += TICK_SECONDS
         one.forwarder.tick()
-        await asyncio.sleep(TICK)
+        await asyncio.sleep(TICK_SECONDS)
 
 
-@given("an entry that has run for {age_s:g} s, whose targets refuse everything")
+@given("an entry that has run for {age_s:g} s, whose targets refuse requests")
 def step_refusing(context, age_s):
     context.age_s = age_s
 
 
-@when(
-    "{count:d} requests come, and {seconds:g} s later the targets accept again"
-)
-def step_form(context, count, seconds):
-    context.became = asyncio.run(form(context.age_s, count, seconds))
+@when("{count:d} requests arrive, and {seconds:g} s later the targets accept")
+def step_until_formed(context, count, seconds):
+    context.outcome = asyncio.run(
+        send_until_formed(context.age_s, count, seconds)
+    )
 
 
 @then("{served:d} of them are answered by targets and {refused:d} refused")
 def step_served_refused(context, served, refused):
-    assert context.became == (served, refused), context.became
+    assert context.outcome == (served, refused), context.outcome
 
 
 @given("3 refusals within 0.1 s, and a request that is sent 0.1 s later")
@@ -222,4 +231,4 @@
 def step_outage(context, outage):
     assert context.outage.lasts(context.now)
     over = context.outage.seems_over(context.now)
-    assert over == (outage == "seems to be over"), over
+    assert over == (outage == "seems over"), over
