--- a/jasperweir/components/backpressure/__init__.py
+++ b/jasperweir/components/backpressure/__init__.py
@@ -1,1 +1,1 @@
-"""What targets ask of those who send them requests, and how it is kept."""
+"""Backpressure of targets: back-offs, rate limits and refusals."""
--- a/jasperweir/components/backpressure/asked.py
+++ b/jasperweir/components/backpressure/asked.py
@@ -1,9 +1,10 @@
-"""What targets have asked of this entry, by incarnation; sans-I/O.
+"""Backpressure of all targets towards one entry; sans-I/O.
 
-Whoever turns requests away has none open, and by load alone would be chosen
-first. A target that has asked for rest gets nothing until its end, and one
-request then: another follows once that one has been taken. One that leaves gets
-nothing more, one with a limit no more than this entry's part of it.
+A target that refuses requests has none open, so that the choice by load alone
+would prefer it. A target that asks for a back-off gets no request until it
+ends, and then a single one; others follow once that one has been accepted. A
+draining target gets no further requests, and one with a rate limit no more than
+this entry's share of it. State is kept for each incarnation.
 """
 
 import collections
@@ -21,7 +22,7 @@
 
 
 class Change(enum.Enum):
-    """What an answer has changed."""
+    """Change of a target's backpressure by an answer."""
 
     RESTS = "rests"
     LEAVES = "leaves"
@@ -31,14 +32,14 @@
 
 
 class Backpressure:
-    """What targets have asked, and which may get a request now.
+    """Tracks the backpressure of targets and tells which are available.
 
     Attributes:
-        shares: This entry's parts of limits.
+        shares: This entry's shares of rate limits.
     """
 
     def __init__(self, *, name: str = "") -> None:
-        """Begin with nothing asked.
+        """Initialize without any backpressure.
 
         Args:
             name: Name of this entry.
@@ -51,7 +52,7 @@
     def __len__(self) -> int:
         return len(self._asked)
 
-    # What targets say and do.
+    # Answers and refusals of targets.
 
     def on_answer(
         self,
@@ -60,11 +61,11 @@
         now: float,
         sent_at: float,
     ) -> list[Change]:
-        """Take in what a target asks with an answer; return what is new.
+        """Record the signals of an answer; return the changes.
 
         Args:
             target: The target.
-            told: What it asks.
+            told: Its signals.
             now: Monotonic seconds.
             sent_at: When the request was sent, monotonic seconds.
         """
@@ -90,19 +91,19 @@
         return changes
 
     def on_refused(self, target: records.Target, now: float) -> None:
-        """Note that a target refuses a request and asks for nothing."""
+        """Record a refusal without any signal."""
         asked = self._of(target.target_id, target.born)
         asked = asked or self._add(target.target_id, target.born)
         asked.refuse(now)
 
     def on_chosen(self, target: records.Target, now: float) -> None:
-        """Note that a target is chosen for a request."""
+        """Record that a target is chosen for a request."""
         asked = self._of(target.target_id, target.born)
         if asked is not None:
             asked.chosen(now)
 
     def on_taken(self, target: records.Target, now: float) -> bool:
-        """Note that a target takes a request; return whether a rest is over."""
+        """Record an accepted request; return whether a back-off is over."""
         asked = self._of(target.target_id, target.born)
         if asked is None or asked.bars(now) or not asked.has_refused:
             return False
@@ -111,7 +112,7 @@
         return rested
 
     def forgive(self, targets: list[records.Target]) -> None:
-        """Drop what is held against targets that all refused for a while."""
+        """Clear the refusals of targets after an outage."""
         for target in targets:
             asked = self._asked.get(target.target_id)
             if asked is not None:
@@ -120,7 +121,7 @@
     # Other entries.
 
     def refusing(self, now: float) -> tuple[messages.Refusing, ...]:
-        """Return what to tell the other entries."""
+        """Return the targets to report to other entries as refusing."""
         return tuple(
             messages.Refusing(target_id, asked.born, until - now)
             for target_id, asked in self._asked.items()
@@ -130,9 +131,10 @@
     def on_told(
         self, refusing: tuple[messages.Refusing, ...], now: float
     ) -> None:
-        """Take in which targets refuse the requests of another entry.
+        """Record the targets that refuse the requests of another entry.
 
-        They may well take this one's, so that nothing is barred by it.
+        They may accept this entry's requests, so they are avoided but not
+        excluded.
         """
         for told in refusing[: const.TOLD_MAX]:
             if not told.for_s > 0:
@@ -145,16 +147,16 @@
     # Queries.
 
     def bars(self, target: records.Target, now: float) -> bool:
-        """Tell whether a target has asked that nothing reaches it now."""
+        """Return whether a target accepts no requests now."""
         asked = self._of(target.target_id, target.born)
         return asked is not None and asked.bars(now)
 
     def open_to(
         self, targets: list[records.Target], now: float
     ) -> list[records.Target]:
-        """Return those of some targets that may get a request now.
+        """Return the targets that may get a request now.
 
-        Those that refuse without a word on how long are among them only if
+        Targets that refuse without asking for a back-off are included only if
         there is no other.
         """
         if not self._asked:
@@ -166,22 +168,22 @@
     def unbarred(
         self, targets: list[records.Target], now: float
     ) -> list[records.Target]:
-        """Return those of some targets that have not asked for nothing now."""
+        """Return the targets without back-off, draining or a used-up limit."""
         return [t for t in targets if self._opens_in_s(t, now) <= 0]
 
     def opens_in_s(
         self, targets: list[records.Target], now: float, ahead: int = 0
     ) -> float:
-        """Return the seconds until one of some targets may get a request.
+        """Return the time until the first of the targets is available, seconds.
 
         Args:
             targets: The targets.
             now: Monotonic seconds.
-            ahead: Requests that wait for the same. Those count only where all
-                targets are limited; others take many once they take any.
+            ahead: Requests that wait for the same targets. They count only if
+                all targets have a rate limit.
 
         Returns:
-            Infinity if none of them may.
+            Seconds, infinite if all targets are draining.
         """
         found = (self._opens_in_s(target, now) for target in targets)
         first_s = min(found, default=math.inf)
@@ -192,7 +194,7 @@
         return first_s + ahead / per_s
 
     def counts(self, now: float) -> dict[str, int]:
-        """Return how many targets rest, leave and are limited."""
+        """Return the number of targets by signal."""
         asked = self._asked.values()
         return {
             "rests": sum(now < one.rest_until for one in asked),
@@ -201,19 +203,19 @@
         }
 
     def rest_left_s(self, target: records.Target, now: float) -> float:
-        """Return for how long a target still wants no request, seconds."""
+        """Return the remaining back-off of a target, seconds."""
         asked = self._of(target.target_id, target.born)
         return max(asked.rest_until - now, 0.0) if asked is not None else 0.0
 
-    # Keeping.
+    # Upkeep.
 
     def tidy(
         self, known: Callable[[str], records.Target | None], now: float
     ) -> None:
-        """Forget refusals that are long over, and what targets that are gone.
+        """Drop refusals that are long over, and the state of gone targets.
 
         Args:
-            known: Returns the target of an id, None if there is none.
+            known: Returns the target with an id, None if there is none.
             now: Monotonic seconds.
         """
         gone = [
@@ -226,7 +228,7 @@
             del self._asked[target_id]
 
     def _opens_in_s(self, target: records.Target, now: float) -> float:
-        """Return the seconds until a target may get a request."""
+        """Return the time until a target is available, seconds."""
         asked = self._of(target.target_id, target.born)
         if asked is None:
             return 0.0
@@ -256,7 +258,7 @@
         return asked
 
     def _of(self, target_id: str, born: int) -> state_lib.Asked | None:
-        """Return what this incarnation has asked; forget an earlier one's."""
+        """Return the state of an incarnation; drop that of an earlier one."""
         asked = self._asked.get(target_id)
         if asked is None:
             return None
--- a/jasperweir/components/backpressure/shares.py
+++ b/jasperweir/components/backpressure/shares.py
@@ -1,11 +1,12 @@
-"""An entry's part of a limit that holds for all entries together; sans-I/O.
-
-Entries don't ask each other before a request. A target's limit is divided among
-a few of them, its owners, which follow from the names of the entries and of the
-target. Each owner may be half a request ahead of its even flow, so there are no
-more of them than the target bears at once. Who is no owner sends elsewhere.
-An entry that is not heard of keeps its part for a while: entries that lose
-sight of each other do not take each other's parts.
+"""An entry's shares of rate limits that hold for all entries; sans-I/O.
+
+Entries don't coordinate their requests. The limit of a target is divided among
+a few entries, its owners, which are chosen by rendezvous hashing of the names
+of the entries and the target. Each owner may be half a request ahead of its
+even rate, so the number of owners is bounded by the burst that the target
+accepts. Other entries send elsewhere. An entry that is not seen any more keeps
+its share for a while, so that the sides of a network partition don't both use
+it.
 """
 
 from collections.abc import Iterable
@@ -17,10 +18,10 @@
 
 
 class Shares:
-    """Parts of one entry in the limits of targets."""
+    """Shares of one entry in the limits of targets."""
 
     def __init__(self, *, name: str) -> None:
-        """Begin as the only entry.
+        """Initialize with this entry as the only one.
 
         Args:
             name: Name of this entry.
@@ -33,7 +34,7 @@
         return len(self._seen)
 
     def on_entries(self, names: Iterable[str], now: float) -> None:
-        """Take in the entries that there are."""
+        """Update the set of entries from those that are seen now."""
         before = set(self._seen)
         self._seen.update((n, now) for n in names if n != self._name)
         oldest = now - const.ENTRIES_KEPT_SECONDS
@@ -42,11 +43,11 @@
             self._owns.cache_clear()
 
     def part(self, target_id: str, per_s: float) -> float:
-        """Return the requests a second that this entry may send a target.
+        """Return the rate at which this entry may send to a target, per second.
 
         Args:
             target_id: The target.
-            per_s: Its limit for all entries together, requests a second.
+            per_s: Its limit for all entries, requests per second.
         """
         count = min(owners(per_s), len(self._seen))
         if not self._owns(target_id, count):
@@ -54,13 +55,14 @@
         return max(per_s, const.LIMIT_LEAST) / count
 
     def look_s(self, per_s: float) -> float:
-        """Return after which time who is no owner looks for itself, seconds.
+        """Return the probe interval of an entry without a share, seconds.
 
-        It hears of a limit only with an answer. So that all who look take but a
-        small part of the limit, the more entries there are the later.
+        An entry learns of a changed limit only with an answer. The interval
+        grows with the number of entries, so that all probes use a small share
+        of the limit.
 
         Args:
-            per_s: Limit of the target, requests a second.
+            per_s: Limit of the target, requests per second.
         """
         others = max(len(self._seen) - owners(per_s), 0)
         flow = const.LOOK_SHARE * max(per_s, const.LIMIT_LEAST)
@@ -72,6 +74,6 @@
 
 
 def owners(per_s: float) -> int:
-    """Return how many entries at most may share a limit, one at least."""
+    """Return the largest number of entries that may share a limit."""
     spare = const.LIMIT_SPARE_SECONDS * per_s + const.LIMIT_SPARE
     return max(1, math.floor(spare / const.OWNER_BURST))
--- a/jasperweir/components/backpressure/signals.py
+++ b/jasperweir/components/backpressure/signals.py
@@ -1,4 +1,4 @@
-"""What the head of a target's answer asks of its callers."""
+"""Backpressure signals in the headers of a target's answer."""
 
 import math
 from typing import NamedTuple
@@ -9,15 +9,15 @@
 
 
 class Signals(NamedTuple):
-    """What a target asks with one answer.
+    """Backpressure signals of one answer.
 
     Attributes:
-        rest_s: It wants nothing from this entry for so long, seconds; None if
-            it does not say.
-        limit_per_s: It takes so many requests a second of all entries
-            together; None if it does not say.
-        leaves: Whether it ends soon and wants no new requests.
-        unreadable: Values that could not be read, as they are logged.
+        rest_s: Back-off: time for which the target accepts no request of this
+            entry, seconds; None if not stated.
+        limit_per_s: Requests per second that the target accepts of all entries
+            together; None if not stated.
+        leaves: Whether it is draining and accepts no new requests.
+        unreadable: Values that could not be read, shortened for the log.
     """
 
     rest_s: float | None = None
@@ -27,7 +27,7 @@
 
     @property
     def asks_nothing(self) -> bool:
-        """Whether the target takes whatever comes, and has said no more."""
+        """Whether the answer carries no signal."""
         has_numbers = self.rest_s is not None or self.limit_per_s is not None
         return not (has_numbers or self.leaves or self.unreadable)
 
@@ -37,15 +37,15 @@
 
 
 def read(*, rest: Values, limit: Values, leaving: Values) -> Signals:
-    """Read the values of headers, whatever they hold.
+    """Parse header values without raising an error.
 
-    Of several values the one counts that asks for more; one that cannot be
-    read is left out and shown.
+    Of several values the strictest one applies. Unreadable values are skipped
+    and returned for the log.
 
     Args:
-        rest: Seconds of rest.
-        limit: Requests a second.
-        leaving: Whether the target leaves.
+        rest: Durations of a back-off, seconds.
+        limit: Rate limits, requests per second.
+        leaving: Flags of a draining target.
     """
     if not rest and not limit and not leaving:
         return NONE
@@ -61,7 +61,7 @@
 
 
 def _numbers(values: Values, unreadable: list[str]) -> list[float]:
-    """Return the values that are numbers of 0 or more; note the others."""
+    """Return the values that are numbers of 0 or more; collect the others."""
     found = []
     for value in values[: const.VALUES_MAX]:
         try:
--- a/jasperweir/components/backpressure/state.py
+++ b/jasperweir/components/backpressure/state.py
@@ -1,4 +1,4 @@
-"""What one incarnation of a target has asked of one entry; sans-I/O."""
+"""Backpressure of one incarnation of a target; sans-I/O."""
 
 import dataclasses
 import math
@@ -10,15 +10,14 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Flow:
-    """Requests of one entry to a target with a limit, spaced evenly.
+    """Evenly spaced requests of one entry to a target with a rate limit.
 
     Attributes:
-        limit_per_s: What the target takes of all entries, requests a second.
-        named_at: When an answer has named that last, monotonic seconds.
-        per_s: This entry's part of it, requests a second.
-        next_at: When the next request is due at an even pace, monotonic
-            seconds.
-        looked_at: When one was sent to see whether the limit still stands.
+        limit_per_s: Limit of the target for all entries, requests per second.
+        named_at: Time of the last answer that stated it, monotonic seconds.
+        per_s: This entry's share of it, requests per second.
+        next_at: Time at which the next request is due, monotonic seconds.
+        looked_at: Time of the last probe, monotonic seconds.
     """
 
     limit_per_s: float
@@ -28,12 +27,12 @@
     looked_at: float = _NEVER
 
     def opens_in_s(self, now: float, look_s: float) -> float:
-        """Return the seconds until a request may go.
+        """Return the time until a request may be sent, seconds.
 
         Args:
             now: Monotonic seconds.
-            look_s: An entry without a part in the limit looks after this long
-                whether it still stands, seconds.
+            look_s: Interval at which an entry without a share in the limit
+                probes whether it still applies, seconds.
         """
         if self.per_s <= 0:
             due = max(self.named_at, self.looked_at) + look_s
@@ -42,7 +41,7 @@
         return max(due - now, 0.0)
 
     def on_sent(self, now: float) -> None:
-        """Note that a request goes."""
+        """Record that a request is sent."""
         if self.per_s <= 0:
             self.looked_at = now
         else:
@@ -51,21 +50,21 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Asked:
-    """What one incarnation of a target has asked, and how it refuses.
+    """Signals and refusals of one incarnation of a target.
 
     Attributes:
-        born: Start that asked, Unix milliseconds, 0 if it does not say.
-        rest_until: Until when it wants no request, monotonic seconds.
-        leaves: Whether it wants none any more.
-        flow: Requests to it if it has a limit.
-        refusals: How many requests in a row it has refused without saying for
-            how long; those that were on their way together count as one, and
-            none once it is avoided for the longest time.
-        avoided_until: Until when it gets requests only if no other target
-            wants them, monotonic seconds.
-        told_until: The same, as other entries have told.
-        trial_at: When the first request after a refusal was chosen for it.
-        puzzles: Whether it has said what cannot be read.
+        born: Start time of the incarnation, Unix milliseconds; 0 if unknown.
+        rest_until: End of the back-off that it asked for, monotonic seconds.
+        leaves: Whether it is draining and accepts no further requests.
+        flow: Requests to it if it has a rate limit, else None.
+        refusals: Refusals in a row without a back-off. Those that arrive while
+            it is avoided don't count, nor do any once it is avoided for the
+            longest time.
+        avoided_until: Until then it gets requests only if no other target
+            accepts any, monotonic seconds.
+        told_until: The same, reported by other entries.
+        trial_at: Time of the first request after a refusal, monotonic seconds.
+        puzzles: Whether it has sent an unreadable value.
     """
 
     born: int
@@ -81,28 +80,28 @@
     # Queries.
 
     def bars(self, now: float) -> bool:
-        """Tell whether no request may reach it."""
+        """Return whether it accepts no requests now."""
         return self.leaves or now < self.rest_until
 
     def is_avoided(self, now: float) -> bool:
-        """Tell whether requests go elsewhere if they can."""
+        """Return whether requests should go to other targets."""
         if now < max(self.avoided_until, self.told_until):
             return True
         return now - self.trial_at < const.TRIAL_SECONDS
 
     def is_over(self, now: float) -> bool:
-        """Tell whether it is long ago that it turned requests away."""
+        """Return whether its last refusal is long over."""
         last = max(self.refuses_until, self.told_until)
         return now > last + const.KEPT_SECONDS
 
     @property
     def holds_on(self) -> bool:
-        """Whether what it has said is kept as long as it runs."""
+        """Whether its state is kept as long as the target runs."""
         return self.leaves or self.puzzles or self.flow is not None
 
     @property
     def has_rested(self) -> bool:
-        """Whether it has asked for rest."""
+        """Whether it has asked for a back-off."""
         return math.isfinite(self.rest_until)
 
     @property
@@ -112,21 +111,21 @@
 
     @property
     def refuses_until(self) -> float:
-        """Until when this entry sends it nothing if it can help it."""
+        """Until when this entry avoids it, monotonic seconds."""
         return max(self.rest_until, self.avoided_until)
 
-    # What it says and does.
+    # Answers and refusals.
 
     def rest(self, seconds: float, now: float) -> bool:
-        """Note that it asks for rest; return whether it did not rest before."""
+        """Start or extend a back-off; return whether it starts."""
         begins = now >= self.rest_until
-        # A later answer does not take back what an earlier one has asked.
+        # A later answer doesn't shorten a back-off.
         self.rest_until = max(self.rest_until, now + seconds)
         self.trial_at = _NEVER
         return begins
 
     def limit(self, per_s: float, now: float) -> bool:
-        """Note that it names a limit; return whether that is a new one."""
+        """Set its rate limit; return whether it has changed."""
         if self.flow is None:
             self.flow = Flow(limit_per_s=per_s, named_at=now, next_at=now)
             return True
@@ -136,14 +135,22 @@
         return changes
 
     def unlimit(self, sent_at: float) -> bool:
-        """Note an answer that names none; return whether a limit is over."""
+        """Clear the limit unless it is newer than the answer's request.
+
+        Args:
+            sent_at: When the request was sent whose answer states no limit,
+                monotonic seconds.
+
+        Returns:
+            Whether there was a limit.
+        """
         if self.flow is None or sent_at < self.flow.named_at:
             return False
         self.flow = None
         return True
 
     def refuse(self, now: float) -> None:
-        """Note that it refuses a request without a word on how long."""
+        """Record a refusal without a back-off."""
         self.trial_at = _NEVER
         if self.bars(now) or now < self.avoided_until:
             return
@@ -153,19 +160,19 @@
         self.avoided_until = now + min(pause_s, const.AVOID_MOST_SECONDS)
 
     def chosen(self, now: float) -> None:
-        """Note that it is chosen for a request."""
+        """Record that it is chosen for a request."""
         if self.has_refused:
             self.trial_at = now
         if self.flow is not None:
             self.flow.on_sent(now)
 
     def forgive(self) -> None:
-        """Note that it takes requests again."""
+        """Clear its back-off and its refusals."""
         self.rest_until = _NEVER
         self.forgive_refusals()
 
     def forgive_refusals(self) -> None:
-        """Drop its refusals; a rest that it has asked for stands."""
+        """Clear its refusals, but not its back-off."""
         self.refusals = 0
         self.avoided_until = _NEVER
         self.told_until = _NEVER
--- a/jasperweir/components/balance/advice.py
+++ b/jasperweir/components/balance/advice.py
@@ -15,7 +15,7 @@
 # Range of delays during an outage, seconds; random, so that the retries spread.
 # The longest is what a caller with 8 s left still follows.
 OUTAGE_SECONDS = (1.6, 2.6)
-# Range of delays after the end of a rest, seconds.
+# Range of delays after the end of a back-off, seconds.
 AFTER_REST_SECONDS = (0.05, 0.6)
 # Within this time a starting process has its configuration, seconds.
 STARTING_SECONDS = 0.8
@@ -51,10 +51,10 @@
         return self._rng.uniform(*OUTAGE_SECONDS)
 
     def after_rest(self, rest_s: float) -> float:
-        """Return the delay for a caller whose targets all rest, seconds.
+        """Return the delay for a caller whose targets all back off, seconds.
 
         Args:
-            rest_s: Seconds until the first of the rests ends.
+            rest_s: Time until the first of the back-offs ends, seconds.
         """
         # Random, because each target gets a single request at first.
         return rest_s + self._rng.uniform(*AFTER_REST_SECONDS)
