--- a/features/harness/limits.py
+++ b/features/harness/limits.py
@@ -7,7 +7,7 @@
 
 from features.harness import site
 from jasperweir.components.backpressure import asked
-from jasperweir.components.backpressure import shares
+from jasperweir.components.backpressure import limit_shares
 from jasperweir.components.backpressure import signals
 
 WINDOW = 4.0
@@ -20,10 +20,10 @@
 ON_ITS_WAY = (0.001, 0.015)
 
 
-class Even(shares.Shares):
+class Even(limit_shares.LimitShares):
     """The other way: every entry has the same part, however small."""
 
-    def part(self, target_id, per_s):
+    def share_per_s(self, target_id, per_s):
         return per_s / len(self)
 
 
@@ -37,7 +37,7 @@
         arrivals: When requests that count reached the target.
     """
 
-    def __init__(self, *, entries, seed, way=shares.Shares):
+    def __init__(self, *, entries, seed, way=limit_shares.LimitShares):
         self.names = [f"10.0.{n // 250}.{n % 250}:7601" for n in range(entries)]
         self.rng = random.Random(seed)
         self.asked = {}
--- a/features/steps/asked_steps.py
+++ b/features/steps/asked_steps.py
@@ -28,7 +28,7 @@
 @then('it wants rest for "{seconds}" s, and it leaves: {leaves}')
 def step_wants(context, seconds, leaves):
     wanted = None if seconds == "none" else float(seconds)
-    seen = (context.told.rest_s, context.told.leaves)
+    seen = (context.told.rest_s, context.told.draining)
     assert seen == (wanted, leaves == "yes"), seen
 
 
@@ -52,7 +52,7 @@
 
 @given("a target that has said that it leaves")
 def step_said_leaves(context):
-    asks(context, signals.Signals(leaves=True))
+    asks(context, signals.Signals(draining=True))
 
 
 @when("it starts again under its id")
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -11,7 +11,7 @@
 from features.harness import limits
 from features.harness import site
 from jasperweir.components.backpressure import asked
-from jasperweir.components.backpressure import shares
+from jasperweir.components.backpressure import limit_shares
 from jasperweir.components.backpressure import signals
 
 HALFTIME = 20.0
@@ -22,7 +22,7 @@
 def step_world(context, count, limit):
     context.count = count
     context.limit = limit
-    context.way = shares.Shares
+    context.way = limit_shares.LimitShares
     context.prepare = lambda world: None
 
 
--- a/jasperweir/components/backpressure/asked.py
+++ b/jasperweir/components/backpressure/asked.py
@@ -13,7 +13,7 @@
 import math
 
 from jasperweir.components.backpressure import const
-from jasperweir.components.backpressure import shares as shares_lib
+from jasperweir.components.backpressure import limit_shares
 from jasperweir.components.backpressure import signals as signals_lib
 from jasperweir.components.backpressure import state as state_lib
 from jasperweir.components.balance import messages
@@ -24,7 +24,7 @@
 class Change(enum.Enum):
     """Change of a target's backpressure by an answer."""
 
-    RESTS = "rests"
+    BACKS_OFF = "rests"
     LEAVES = "leaves"
     LIMITED = "limited"
     UNLIMITED = "limited no more"
@@ -44,20 +44,20 @@
         Args:
             name: Name of this entry.
         """
-        self.shares = shares_lib.Shares(name=name)
-        self._asked: collections.OrderedDict[str, state_lib.Asked] = (
+        self.shares = limit_shares.LimitShares(name=name)
+        self._states: collections.OrderedDict[str, state_lib.Asked] = (
             collections.OrderedDict()
         )
 
     def __len__(self) -> int:
-        return len(self._asked)
+        return len(self._states)
 
     # Answers and refusals of targets.
 
     def on_answer(
         self,
         target: records.Target,
-        told: signals_lib.Signals,
+        signals: signals_lib.Signals,
         now: float,
         sent_at: float,
     ) -> list[Change]:
@@ -65,67 +65,67 @@
 
         Args:
             target: The target.
-            told: Its signals.
+            signals: Its signals.
             now: Monotonic seconds.
             sent_at: When the request was sent, monotonic seconds.
         """
-        asked = self._of(target.target_id, target.born)
-        if asked is None:
-            if told.asks_nothing:
+        state = self._get(target.target_id, target.born)
+        if state is None:
+            if signals.is_empty:
                 return []
-            asked = self._add(target.target_id, target.born)
+            state = self._add(target.target_id, target.born)
         changes = []
-        if told.unreadable and not asked.puzzles:
-            asked.puzzles = True
+        if signals.unreadable and not state.sent_unreadable:
+            state.sent_unreadable = True
             changes.append(Change.UNREADABLE)
-        if told.leaves and not asked.leaves:
-            asked.leaves = True
+        if signals.draining and not state.draining:
+            state.draining = True
             changes.append(Change.LEAVES)
-        if told.rest_s is not None and asked.rest(told.rest_s, now):
-            changes.append(Change.RESTS)
-        if told.limit_per_s is not None:
-            if asked.limit(told.limit_per_s, now):
+        if signals.rest_s is not None and state.back_off(signals.rest_s, now):
+            changes.append(Change.BACKS_OFF)
+        if signals.limit_per_s is not None:
+            if state.set_limit(signals.limit_per_s, now):
                 changes.append(Change.LIMITED)
-        elif asked.unlimit(sent_at):
+        elif state.clear_limit(sent_at):
             changes.append(Change.UNLIMITED)
         return changes
 
     def on_refused(self, target: records.Target, now: float) -> None:
         """Record a refusal without any signal."""
-        asked = self._of(target.target_id, target.born)
-        asked = asked or self._add(target.target_id, target.born)
-        asked.refuse(now)
+        state = self._get(target.target_id, target.born)
+        state = state or self._add(target.target_id, target.born)
+        state.refuse(now)
 
     def on_chosen(self, target: records.Target, now: float) -> None:
         """Record that a target is chosen for a request."""
-        asked = self._of(target.target_id, target.born)
-        if asked is not None:
-            asked.chosen(now)
+        state = self._get(target.target_id, target.born)
+        if state is not None:
+            state.chosen(now)
 
     def on_taken(self, target: records.Target, now: float) -> bool:
         """Record an accepted request; return whether a back-off is over."""
-        asked = self._of(target.target_id, target.born)
-        if asked is None or asked.bars(now) or not asked.has_refused:
+        state = self._get(target.target_id, target.born)
+        if state is None or state.bars(now) or not state.has_refused:
             return False
-        rested = asked.has_rested
-        asked.forgive()
-        return rested
+        backed_off = state.has_backed_off
+        state.forgive()
+        return backed_off
 
     def forgive(self, targets: list[records.Target]) -> None:
         """Clear the refusals of targets after an outage."""
         for target in targets:
-            asked = self._asked.get(target.target_id)
-            if asked is not None:
-                asked.forgive_refusals()
+            state = self._states.get(target.target_id)
+            if state is not None:
+                state.forgive_refusals()
 
     # Other entries.
 
     def refusing(self, now: float) -> tuple[messages.Refusing, ...]:
         """Return the targets to report to other entries as refusing."""
         return tuple(
-            messages.Refusing(target_id, asked.born, until - now)
-            for target_id, asked in self._asked.items()
-            if (until := asked.refuses_until) > now
+            messages.Refusing(target_id, state.born, until - now)
+            for target_id, state in self._states.items()
+            if (until := state.refuses_until) > now
         )
 
     def on_told(
@@ -136,20 +136,20 @@
         They may accept this entry's requests, so they are avoided but not
         excluded.
         """
-        for told in refusing[: const.TOLD_MAX]:
-            if not told.for_s > 0:
+        for refusal in refusing[: const.PEER_REFUSALS_MAX]:
+            if not refusal.for_s > 0:
                 continue
-            asked = self._of(told.target_id, told.born)
-            asked = asked or self._add(told.target_id, told.born)
-            until = now + min(told.for_s, const.TOLD_SECONDS)
-            asked.told_until = max(asked.told_until, until)
+            state = self._get(refusal.target_id, refusal.born)
+            state = state or self._add(refusal.target_id, refusal.born)
+            until = now + min(refusal.for_s, const.PEER_REFUSAL_TTL_SECONDS)
+            state.peer_avoided_until = max(state.peer_avoided_until, until)
 
     # Queries.
 
     def bars(self, target: records.Target, now: float) -> bool:
         """Return whether a target accepts no requests now."""
-        asked = self._of(target.target_id, target.born)
-        return asked is not None and asked.bars(now)
+        state = self._get(target.target_id, target.born)
+        return state is not None and state.bars(now)
 
     def open_to(
         self, targets: list[records.Target], now: float
@@ -159,17 +159,17 @@
         Targets that refuse without asking for a back-off are included only if
         there is no other.
         """
-        if not self._asked:
+        if not self._states:
             return targets
-        found = self.unbarred(targets, now)
-        fit = [t for t in found if not self._is_avoided(t, now)]
-        return fit or found
+        available = self.unbarred(targets, now)
+        preferred = [t for t in available if not self._is_avoided(t, now)]
+        return preferred or available
 
     def unbarred(
         self, targets: list[records.Target], now: float
     ) -> list[records.Target]:
         """Return the targets without back-off, draining or a used-up limit."""
-        return [t for t in targets if self._opens_in_s(t, now) <= 0]
+        return [t for t in targets if self._wait_s(t, now) <= 0]
 
     def opens_in_s(
         self, targets: list[records.Target], now: float, ahead: int = 0
@@ -185,27 +185,29 @@
         Returns:
             Seconds, infinite if all targets are draining.
         """
-        found = (self._opens_in_s(target, now) for target in targets)
-        first_s = min(found, default=math.inf)
-        flows = [self._flow_of(target) for target in targets]
-        per_s = sum(flow.per_s for flow in flows if flow is not None)
-        if None in flows or per_s <= 0:
-            return first_s
-        return first_s + ahead / per_s
+        waits = (self._wait_s(target, now) for target in targets)
+        wait_s = min(waits, default=math.inf)
+        limiters = [self._get_limiter(target) for target in targets]
+        per_s = sum(
+            limiter.per_s for limiter in limiters if limiter is not None
+        )
+        if None in limiters or per_s <= 0:
+            return wait_s
+        return wait_s + ahead / per_s
 
     def counts(self, now: float) -> dict[str, int]:
         """Return the number of targets by signal."""
-        asked = self._asked.values()
+        states = self._states.values()
         return {
-            "rests": sum(now < one.rest_until for one in asked),
-            "leaves": sum(one.leaves for one in asked),
-            "limited": sum(one.flow is not None for one in asked),
+            "rests": sum(now < state.backoff_until for state in states),
+            "leaves": sum(state.draining for state in states),
+            "limited": sum(state.limiter is not None for state in states),
         }
 
     def rest_left_s(self, target: records.Target, now: float) -> float:
         """Return the remaining back-off of a target, seconds."""
-        asked = self._of(target.target_id, target.born)
-        return max(asked.rest_until - now, 0.0) if asked is not None else 0.0
+        state = self._get(target.target_id, target.born)
+        return max(state.backoff_until - now, 0.0) if state is not None else 0.0
 
     # Upkeep.
 
@@ -220,50 +222,54 @@
         """
         gone = [
             target_id
-            for target_id, asked in self._asked.items()
-            if asked.is_over(now)
-            and not (asked.holds_on and known(target_id) is not None)
+            for target_id, state in self._states.items()
+            if state.is_expired(now)
+            and not (state.is_permanent and known(target_id) is not None)
         ]
         for target_id in gone:
-            del self._asked[target_id]
+            del self._states[target_id]
 
-    def _opens_in_s(self, target: records.Target, now: float) -> float:
+    def _wait_s(self, target: records.Target, now: float) -> float:
         """Return the time until a target is available, seconds."""
-        asked = self._of(target.target_id, target.born)
-        if asked is None:
+        state = self._get(target.target_id, target.born)
+        if state is None:
             return 0.0
-        if asked.leaves:
+        if state.draining:
             return math.inf
-        flow = asked.flow
-        flow_s = 0.0
-        if flow is not None:
-            flow.per_s = self.shares.part(target.target_id, flow.limit_per_s)
-            look_s = self.shares.look_s(flow.limit_per_s)
-            flow_s = flow.opens_in_s(now, look_s)
-        return max(asked.rest_until - now, flow_s, 0.0)
-
-    def _flow_of(self, target: records.Target) -> state_lib.Flow | None:
-        asked = self._of(target.target_id, target.born)
-        return asked.flow if asked is not None else None
+        limiter = state.limiter
+        limiter_s = 0.0
+        if limiter is not None:
+            limiter.per_s = self.shares.share_per_s(
+                target.target_id, limiter.limit_per_s
+            )
+            probe_interval_s = self.shares.probe_interval_s(limiter.limit_per_s)
+            limiter_s = limiter.wait_s(now, probe_interval_s)
+        return max(state.backoff_until - now, limiter_s, 0.0)
+
+    def _get_limiter(
+        self, target: records.Target
+    ) -> state_lib.RateLimiter | None:
+        state = self._get(target.target_id, target.born)
+        return state.limiter if state is not None else None
 
     def _is_avoided(self, target: records.Target, now: float) -> bool:
-        asked = self._of(target.target_id, target.born)
-        return asked is not None and asked.is_avoided(now)
+        state = self._get(target.target_id, target.born)
+        return state is not None and state.is_avoided(now)
 
     def _add(self, target_id: str, born: int) -> state_lib.Asked:
-        asked = state_lib.Asked(born=born)
-        self._asked[target_id] = asked
-        if len(self._asked) > const.TARGETS_MAX:
-            self._asked.popitem(last=False)
-        return asked
+        state = state_lib.Asked(born=born)
+        self._states[target_id] = state
+        if len(self._states) > const.TARGETS_MAX:
+            self._states.popitem(last=False)
+        return state
 
-    def _of(self, target_id: str, born: int) -> state_lib.Asked | None:
+    def _get(self, target_id: str, born: int) -> state_lib.Asked | None:
         """Return the state of an incarnation; drop that of an earlier one."""
-        asked = self._asked.get(target_id)
-        if asked is None:
+        state = self._states.get(target_id)
+        if state is None:
             return None
-        told = incarnation.compare(born, asked.born)
-        if told is incarnation.Start.LATER:
-            del self._asked[target_id]
+        order = incarnation.compare(born, state.born)
+        if order is incarnation.Start.LATER:
+            del self._states[target_id]
             return None
-        return asked
+        return state
--- a/jasperweir/components/backpressure/shares.py
+++ b/jasperweir/components/backpressure/limit_shares.py
@@ -17,7 +17,7 @@
 from jasperweir.helpers import hashing
 
 
-class Shares:
+class LimitShares:
     """Shares of one entry in the limits of targets."""
 
     def __init__(self, *, name: str) -> None:
@@ -27,34 +27,38 @@
             name: Name of this entry.
         """
         self._name = name
-        self._seen: dict[str, float] = {name: math.inf}
-        self._owns = functools.lru_cache(const.TARGETS_MAX)(self._draw)
+        self._seen_at: dict[str, float] = {name: math.inf}
+        self._is_owner = functools.lru_cache(const.TARGETS_MAX)(
+            self._compute_is_owner
+        )
 
     def __len__(self) -> int:
-        return len(self._seen)
+        return len(self._seen_at)
 
     def on_entries(self, names: Iterable[str], now: float) -> None:
         """Update the set of entries from those that are seen now."""
-        before = set(self._seen)
-        self._seen.update((n, now) for n in names if n != self._name)
-        oldest = now - const.ENTRIES_KEPT_SECONDS
-        self._seen = {n: at for n, at in self._seen.items() if at >= oldest}
-        if set(self._seen) != before:
-            self._owns.cache_clear()
-
-    def part(self, target_id: str, per_s: float) -> float:
+        previous = set(self._seen_at)
+        self._seen_at.update((n, now) for n in names if n != self._name)
+        oldest = now - const.ENTRY_TTL_SECONDS
+        self._seen_at = {
+            n: at for n, at in self._seen_at.items() if at >= oldest
+        }
+        if set(self._seen_at) != previous:
+            self._is_owner.cache_clear()
+
+    def share_per_s(self, target_id: str, per_s: float) -> float:
         """Return the rate at which this entry may send to a target, per second.
 
         Args:
             target_id: The target.
             per_s: Its limit for all entries, requests per second.
         """
-        count = min(owners(per_s), len(self._seen))
-        if not self._owns(target_id, count):
+        count = min(max_owners(per_s), len(self._seen_at))
+        if not self._is_owner(target_id, count):
             return 0.0
-        return max(per_s, const.LIMIT_LEAST) / count
+        return max(per_s, const.LIMIT_MIN_PER_S) / count
 
-    def look_s(self, per_s: float) -> float:
+    def probe_interval_s(self, per_s: float) -> float:
         """Return the probe interval of an entry without a share, seconds.
 
         An entry learns of a changed limit only with an answer. The interval
@@ -64,16 +68,16 @@
         Args:
             per_s: Limit of the target, requests per second.
         """
-        others = max(len(self._seen) - owners(per_s), 0)
-        flow = const.LOOK_SHARE * max(per_s, const.LIMIT_LEAST)
-        return max(const.LIMIT_KEPT_SECONDS, others / flow)
+        others = max(len(self._seen_at) - max_owners(per_s), 0)
+        probes_per_s = const.PROBE_SHARE * max(per_s, const.LIMIT_MIN_PER_S)
+        return max(const.PROBE_MIN_SECONDS, others / probes_per_s)
 
-    def _draw(self, target_id: str, count: int) -> bool:
-        names = sorted(self._seen)
+    def _compute_is_owner(self, target_id: str, count: int) -> bool:
+        names = sorted(self._seen_at)
         return self._name in hashing.rendezvous(target_id, names, count)
 
 
-def owners(per_s: float) -> int:
+def max_owners(per_s: float) -> int:
     """Return the largest number of entries that may share a limit."""
-    spare = const.LIMIT_SPARE_SECONDS * per_s + const.LIMIT_SPARE
-    return max(1, math.floor(spare / const.OWNER_BURST))
+    burst = const.LIMIT_BURST_SECONDS * per_s + const.LIMIT_BURST
+    return max(1, math.floor(burst / const.OWNER_BURST))
--- a/jasperweir/components/backpressure/signals.py
+++ b/jasperweir/components/backpressure/signals.py
@@ -16,20 +16,20 @@
             entry, seconds; None if not stated.
         limit_per_s: Requests per second that the target accepts of all entries
             together; None if not stated.
-        leaves: Whether it is draining and accepts no new requests.
+        draining: Whether it is draining and accepts no new requests.
         unreadable: Values that could not be read, shortened for the log.
     """
 
     rest_s: float | None = None
     limit_per_s: float | None = None
-    leaves: bool = False
+    draining: bool = False
     unreadable: tuple[str, ...] = ()
 
     @property
-    def asks_nothing(self) -> bool:
+    def is_empty(self) -> bool:
         """Whether the answer carries no signal."""
         has_numbers = self.rest_s is not None or self.limit_per_s is not None
-        return not (has_numbers or self.leaves or self.unreadable)
+        return not (has_numbers or self.draining or self.unreadable)
 
 
 NONE = Signals()
@@ -50,27 +50,29 @@
     if not rest and not limit and not leaving:
         return NONE
     unreadable: list[str] = []
-    times = _numbers(rest, unreadable)
-    limits = _numbers(limit, unreadable)
+    backoffs = _parse_numbers(rest, unreadable)
+    limits = _parse_numbers(limit, unreadable)
     return Signals(
-        rest_s=min(max(times), const.REST_MOST_SECONDS) if times else None,
+        rest_s=min(max(backoffs), const.BACKOFF_MAX_SECONDS)
+        if backoffs
+        else None,
         limit_per_s=min(limits) if limits else None,
-        leaves=any(v.strip().lower() not in _FALSE for v in leaving),
+        draining=any(v.strip().lower() not in _FALSE for v in leaving),
         unreadable=tuple(unreadable),
     )
 
 
-def _numbers(values: Values, unreadable: list[str]) -> list[float]:
+def _parse_numbers(values: Values, unreadable: list[str]) -> list[float]:
     """Return the values that are numbers of 0 or more; collect the others."""
-    found = []
+    numbers = []
     for value in values[: const.VALUES_MAX]:
         try:
             number = float(value)
         except ValueError:
             number = math.nan
         if math.isfinite(number) and number >= 0:
-            found.append(number)
+            numbers.append(number)
         else:
-            shown = value[: const.SHOWN_BYTES].decode("latin-1")
-            unreadable.append(shown)
-    return found
+            logged = value[: const.LOGGED_VALUE_BYTES].decode("latin-1")
+            unreadable.append(logged)
+    return numbers
