--- a/features/harness/limits.py
+++ b/features/harness/limits.py
@@ -1,4 +1,4 @@
-"""Entries and one target with a limit, on a virtual clock."""
+"""Simulation of entries and a target with a rate limit."""
 
 import collections
 import heapq
@@ -10,40 +10,40 @@
 from jasperweir.components.backpressure import limit_shares
 from jasperweir.components.backpressure import signals
 
-WINDOW = 4.0
-# From so long after the target first named a limit it holds.
-STABLE = 3.0
-# A request of an entry counts from so long after an answer has told it.
-TOLD = 0.5
-# Entries look who the others are this often.
-LOOK = 0.5
-ON_ITS_WAY = (0.001, 0.015)
+WINDOW_SECONDS = 4.0
+# The limit applies from this long after the target's first answer.
+STABLE_SECONDS = 3.0
+# The requests of an entry count from this long after its first answer.
+INFORMED_SECONDS = 0.5
+# Interval at which entries update the list of the others.
+UPDATE_SECONDS = 0.5
+NETWORK_SECONDS = (0.001, 0.015)
 
 
-class Even(limit_shares.LimitShares):
-    """The other way: every entry has the same part, however small."""
+class EvenShares(limit_shares.LimitShares):
+    """Gives every entry the same share, however small."""
 
     def share_per_s(self, target_id, per_s):
         return per_s / len(self)
 
 
 class World:
-    """Requests at entries, and what reaches the target.
+    """Requests of entries to one target.
 
     Attributes:
         limits: Function that returns the limit at a time.
-        visible: Function that returns whom an entry sees at a time.
-        weights: How requests are spread over the entries.
-        arrivals: When requests that count reached the target.
+        visible: Function that returns the entries that an entry sees at a time.
+        weights: Weights of the entries by which requests are spread.
+        arrivals: When the requests that count reached the target.
     """
 
-    def __init__(self, *, entries, seed, way=limit_shares.LimitShares):
+    def __init__(self, *, entries, seed, shares_class=limit_shares.LimitShares):
         self.names = [f"10.0.{n // 250}.{n % 250}:7601" for n in range(entries)]
         self.rng = random.Random(seed)
-        self.asked = {}
+        self.backpressures = {}
         for name in self.names:
-            self.asked[name] = asked.Backpressure(name=name)
-            self.asked[name].shares = way(name=name)
+            self.backpressures[name] = asked.Backpressure(name=name)
+            self.backpressures[name].shares = shares_class(name=name)
         self.starts = dict.fromkeys(self.names, 0.0)
         self.ends = {}
         self.target = site.target(target_id="t", address="10.1.0.1:80")
@@ -54,12 +54,12 @@
         self.weights = [1.0] * entries
         self.arrivals = []
         self.all = 0
-        self._told_at = {}
+        self._informed_at = {}
         self._first_at = None
         self._numbers = itertools.count()
 
     def run(self, seconds, rate):
-        """Let requests come at a rate; all entries want this one target."""
+        """Send requests at a rate, all to this one target."""
         events = []
         at = 0.0
         while at < seconds:
@@ -69,19 +69,21 @@
         for name in self.names:
             at = self.rng.uniform(0, 0.01)
             while at < seconds:
-                heapq.heappush(events, (at, next(self._numbers), "look", name))
-                at += LOOK
+                heapq.heappush(
+                    events, (at, next(self._numbers), "update", name)
+                )
+                at += UPDATE_SECONDS
         while events:
-            at, _, what, name = heapq.heappop(events)
-            for later, follows, who in self._step(at, what, name):
+            at, _, kind, name = heapq.heappop(events)
+            for later, next_kind, sender in self._step(at, kind, name):
                 number = next(self._numbers)
-                heapq.heappush(events, (later, number, follows, who))
+                heapq.heappush(events, (later, number, next_kind, sender))
 
-    def _step(self, at, what, name):
-        match what:
-            case "look":
+    def _step(self, at, kind, name):
+        match kind:
+            case "update":
                 seen = self.visible(name, at)
-                self.asked[name].shares.on_entries(seen, at)
+                self.backpressures[name].shares.on_entries(seen, at)
             case "call" if self._runs(name, at):
                 return self._call(at, name)
             case "arrive":
@@ -94,46 +96,49 @@
         return self.starts[name] <= at < self.ends.get(name, at + 1.0)
 
     def _call(self, at, name):
-        known = self.asked[name]
-        if not known.open_to([self.target], at):
+        state = self.backpressures[name]
+        if not state.open_to([self.target], at):
             return ()
-        known.on_chosen(self.target, at)
-        return ((at + self.rng.uniform(*ON_ITS_WAY), "arrive", name),)
+        state.on_chosen(self.target, at)
+        return ((at + self.rng.uniform(*NETWORK_SECONDS), "arrive", name),)
 
     def _arrive(self, at, name):
         self.all += 1
         self._first_at = self._first_at if self._first_at is not None else at
-        told_at = self._told_at.get(name, float("inf"))
-        if at >= self._first_at + STABLE and at >= told_at + TOLD:
+        informed_at = self._informed_at.get(name, float("inf"))
+        if (
+            at >= self._first_at + STABLE_SECONDS
+            and at >= informed_at + INFORMED_SECONDS
+        ):
             self.arrivals.append(at)
-        return ((at + self.rng.uniform(*ON_ITS_WAY), "answer", name),)
+        return ((at + self.rng.uniform(*NETWORK_SECONDS), "answer", name),)
 
     def _answer(self, at, name):
-        self._told_at.setdefault(name, at)
-        told = signals.Signals(limit_per_s=self.limits(at))
-        self.asked[name].on_answer(self.target, told, at, at - 0.02)
+        self._informed_at.setdefault(name, at)
+        stated = signals.Signals(limit_per_s=self.limits(at))
+        self.backpressures[name].on_answer(self.target, stated, at, at - 0.02)
 
-    def worst(self):
-        """Return by how much the worst window passes what it allows."""
+    def worst_excess(self):
+        """Return the largest number of requests above a window's allowance."""
         recent = collections.deque()
         worst = float("-inf")
         for at in self.arrivals:
             recent.append(at)
-            while recent[0] <= at - WINDOW:
+            while recent[0] <= at - WINDOW_SECONDS:
                 recent.popleft()
-            most = 1.5 * self.allowed(at - WINDOW, at) + 5
+            most = 1.5 * self.allowed(at - WINDOW_SECONDS, at) + 5
             worst = max(worst, len(recent) - most)
         return worst
 
     def allowed(self, since, until, steps=40):
-        """Return how many requests the limit allows in a time."""
+        """Return how many requests the limit allows between two times."""
         step = (until - since) / steps
         return (
             sum(self.limits(since + (n + 0.5) * step) for n in range(steps))
             * step
         )
 
-    def used(self, since, until):
-        """Return which part of the limit is used."""
+    def used_share(self, since, until):
+        """Return the used share of the limit."""
         count = sum(since <= at < until for at in self.arrivals)
         return count / self.allowed(since, until)
--- a/features/harness/asking.py
+++ b/features/harness/scripted_targets.py
@@ -1,4 +1,4 @@
-"""Targets that ask their callers for something, before one forwarder."""
+"""A forwarder with scripted targets that apply backpressure."""
 
 import asyncio
 import contextlib
@@ -9,31 +9,31 @@
 from jasperweir.components.deployment import model
 from jasperweir.helpers import http_message
 
-# Requests come this far apart, seconds of the entry's clock.
-APART = 0.05
-# Real time in which a request is answered by a scripted target, seconds.
+# Interval between requests on the entry's clock.
+REQUEST_INTERVAL_SECONDS = 0.05
+# Real time in which a scripted target answers a request.
 ANSWER_SECONDS = 0.02
-# What may still be on its way when a target asks for rest, seconds.
-ON_ITS_WAY = 0.5
+# Requests sent this long after a back-off was requested don't count yet.
+IN_FLIGHT_SECONDS = 0.5
 
 
 class Target:
-    """Answer each request as it is told to, and note when it came.
+    """Answers requests as configured and records when they arrive.
 
     Attributes:
-        rest: Value of the header with which it turns requests away, None if it
-            answers them.
-        leaves: Whether it says with its answers that it leaves.
-        limit: Limit that it names with its answers, None for none.
-        is_other: Whether another target has its address.
-        arrivals: When requests came, by the entry's clock.
-        refused_at: When it turned requests away.
+        backoff: Value of the Retry-After header with which it refuses requests;
+            None if it answers them.
+        draining: Whether its answers say that it is leaving.
+        limit: Rate limit that its answers state; None for none.
+        is_other: Whether another target has taken over its address.
+        arrivals: When requests arrived, by the entry's clock.
+        refused_at: When it refused requests.
     """
 
     def __init__(self, *, name, clock):
         self.name = name
-        self.rest = None
-        self.leaves = False
+        self.backoff = None
+        self.draining = False
         self.limit = None
         self.is_other = False
         self.arrivals = []
@@ -61,20 +61,25 @@
                 b"HTTP/1.1 421 Misdirected\r\nServer-Leaving: 1\r\n"
                 b"Content-Length: 0\r\n\r\n"
             )
-        if self.rest is None:
-            said = b"Server-Leaving: 1\r\n" if self.leaves else b""
+        if self.backoff is None:
+            headers = b"Server-Leaving: 1\r\n" if self.draining else b""
             if self.limit is not None:
-                said += b"Server-Limit: %b\r\n" % self.limit
-            return b"HTTP/1.1 200 OK\r\n%bContent-Length: 2\r\n\r\nok" % said
+                headers += b"Server-Limit: %b\r\n" % self.limit
+            return b"HTTP/1.1 200 OK\r\n%bContent-Length: 2\r\n\r\nok" % headers
         self.refused_at.append(self._clock.now)
-        rest = b"Retry-After: %b\r\n" % self.rest if self.rest else b""
-        return b"HTTP/1.1 503 Unavailable\r\n%bContent-Length: 0\r\n\r\n" % rest
+        backoff = b"Retry-After: %b\r\n" % self.backoff if self.backoff else b""
+        return (
+            b"HTTP/1.1 503 Unavailable\r\n%bContent-Length: 0\r\n\r\n" % backoff
+        )
 
-    def most_within(self, rest_s):
-        """Return the most requests that came within a rest it had asked for."""
+    def count_within(self, backoff_s):
+        """Return the most requests that arrived within one of its back-offs."""
         return max(
             (
-                sum(at + ON_ITS_WAY <= t < at + rest_s for t in self.arrivals)
+                sum(
+                    at + IN_FLIGHT_SECONDS <= t < at + backoff_s
+                    for t in self.arrivals
+                )
                 for at in self.refused_at
             ),
             default=0,
@@ -85,7 +90,7 @@
 
 
 class Answering(hop.Answering):
-    """Note when the answer comes; status 0 as long as there is none."""
+    """Records the answer and its time; status 0 until there is one."""
 
     def __init__(self, *, clock):
         super().__init__()
@@ -99,24 +104,24 @@
 
 
 class Dialect(hop.Dialect):
-    """Read the headers by which these targets ask."""
+    """Reads the backpressure headers of these targets."""
 
     def target_head(self, head):
         find_all = http_message.find_all
         refuses = head.status == 503
-        told = signals.read(
+        read = signals.read(
             rest=find_all(head.headers, b"retry-after") if refuses else [],
             limit=find_all(head.headers, b"server-limit"),
             leaving=find_all(head.headers, b"server-leaving"),
         )
         found = super().target_head(head)
         return found._replace(
-            not_run=refuses, other_target=head.status == 421, signals=told
+            not_run=refuses, other_target=head.status == 421, signals=read
         )
 
 
 class Entry:
-    """One entry on a clock of its own, and its targets."""
+    """An entry on a manual clock, and its targets."""
 
     def __init__(self, *, count, attempts=2):
         self.clock = core.ManualClock(start=100.0)
@@ -135,43 +140,44 @@
         for target in self.targets:
             await target.start()
             self.one.announce(target.name, target)
-        # Its start, in which it keeps requests, is over.
+        # Past the start, during which an entry holds requests.
         self.clock.now += 10.0
 
     async def call(self, count=1):
-        """Let requests come at once; wait until they are answered or wait."""
+        """Send requests at once and wait until they are answered or queued."""
         for _ in range(count):
             self.one.forwarder.handle(self.answering())
         await asyncio.sleep(ANSWER_SECONDS)
 
     def answering(self):
-        """Return the way back to a new caller."""
+        """Return the answer sink of a new caller."""
         answering = Answering(clock=self.clock)
         self.answers.append(answering)
         return answering
 
     async def run(self, seconds, at_once=1):
-        """Let requests come one after the other for a time."""
-        for _ in range(round(seconds / APART)):
+        """Send requests at regular intervals for a time."""
+        for _ in range(round(seconds / REQUEST_INTERVAL_SECONDS)):
             await self.call(at_once)
-            self.clock.now += APART
-            self.keep()
+            self.clock.now += REQUEST_INTERVAL_SECONDS
+            self.announce()
             self.one.forwarder.tick()
         await asyncio.sleep(ANSWER_SECONDS)
 
     async def settle(self, seconds=0.2):
-        """Let time pass without new requests."""
-        for _ in range(round(seconds / APART)):
-            self.clock.now += APART
+        """Advance the clock without new requests."""
+        for _ in range(round(seconds / REQUEST_INTERVAL_SECONDS)):
+            self.clock.now += REQUEST_INTERVAL_SECONDS
             self.one.forwarder.tick()
             await asyncio.sleep(ANSWER_SECONDS)
 
-    def keep(self):
-        """Let the targets announce themselves again."""
+    def announce(self):
+        """Announce the targets again."""
         for target in self.targets:
             self.one.announce(target.name, target)
 
     def statuses(self):
+        """Return the statuses of all answers."""
         return [answering.replied[0] for answering in self.answers]
 
     def close(self):
--- a/features/limit.feature
+++ b/features/limit.feature
@@ -1,9 +1,9 @@
 Feature: A target's limit holds for all entries together
 
-  Scenario Outline: Of a limit nine tenths are used, and it is never passed
+  Scenario Outline: At least nine tenths of a limit are used, and it is never exceeded
     Given <entries> entries and a target that takes <limit> requests a second
-    When callers want <times> times as much for 60 s, over <seeds> seeds
-    Then no 4 s bring more than the rule of limits allows
+    When callers send <times> times as much for 60 s, over <seeds> seeds
+    Then no window of 4 s exceeds the limit and its burst
     And at least <used> of the limit is used
 
     Examples:
@@ -18,47 +18,47 @@
       | 10      | 0.5   | 20    | 5     | 0.9  |
       | 10      | 0     | 20    | 5     | 0    |
 
-  Scenario: Equal parts for all entries, the other way, pass it at 103 entries
+  Scenario: Equal shares for all entries would exceed it with 103 entries
     Given 103 entries and a target that takes 5 requests a second
-    And every entry has the same part of its limit
-    When callers want 40 times as much for 60 s, over 3 seeds
-    Then some 4 s bring more than the rule of limits allows
+    And every entry has the same share of its limit
+    When callers send 40 times as much for 60 s, over 3 seeds
+    Then some window of 4 s exceeds the limit and its burst
 
-  Scenario Outline: Nothing makes the entries pass a limit together
+  Scenario Outline: Partitions, restarts and changes make entries exceed no limit
     Given <entries> entries and a target that takes 5 requests a second
     And <what>
-    When callers want <times> times as much for 60 s, over 3 seeds
-    Then no 4 s bring more than the rule of limits allows
+    When callers send <times> times as much for 60 s, over 3 seeds
+    Then no window of 4 s exceeds the limit and its burst
 
     Examples:
       | entries | times | what                                              |
-      | 10      | 3     | from 20 s on two halves that do not see the other |
-      | 48      | 20    | from 20 s on two halves that do not see the other |
+      | 10      | 3     | from 20 s on two halves that don't see each other |
+      | 48      | 20    | from 20 s on two halves that don't see each other |
       | 10      | 3     | half of them start at 20 s                        |
       | 48      | 20    | half of them start at 20 s                        |
-      | 10      | 3     | half of them end at 20 s                          |
+      | 10      | 3     | half of them stop at 20 s                         |
       | 10      | 3     | all callers at one entry                          |
       | 48      | 20    | all callers at one entry                          |
       | 10      | 6     | a limit that changes each second                  |
       | 48      | 20    | a limit that changes each second                  |
 
-  Scenario: A limit ends with the first answer that names none
-    Given a target that has named a limit of 5 requests a second
-    When an answer comes that names none to a request sent after that
+  Scenario: A limit ends with the first answer that states none
+    Given a target that has stated a limit of 5 requests a second
+    When an answer without a limit arrives for a request sent after that
     Then 20 requests may be sent at once
 
-  Scenario: An answer from before a limit was named does not end it
-    Given a target that has named a limit of 5 requests a second
-    When an answer comes that names none to a request sent before that
+  Scenario: An answer to a request sent before the limit was stated does not end it
+    Given a target that has stated a limit of 5 requests a second
+    When an answer without a limit arrives for a request sent before that
     Then 1 requests may be sent at once
 
-  Scenario: Requests go to well targets while a limited one is used up
+  Scenario: Requests go to other targets while a limit is used up
     Given an entry with 4 targets
-    When one of them names a limit of 2 a second, and requests come for 6 s
-    Then it gets no more than 17 requests
+    When one of them states a limit of 2 a second, and requests arrive for 6 s
+    Then it gets at most 17 requests
     And every caller is answered 200
 
-  Scenario: With all targets limited a request waits if it can be in time
+  Scenario: With all targets limited a request waits if it can be on time
     Given an entry with 1 target
-    When all of them name a limit of 4 a second, and 12 requests come at once
-    Then some are answered 200, and the others refused at once with a time
+    When all of them state a limit of 4 a second, and 12 requests arrive at once
+    Then some are answered 200, the others refused at once with a Retry-After
