--- a/jasperweir/components/quarantine/__init__.py
+++ b/jasperweir/components/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests under which targets end, and how they are kept from the others."""
+"""Quarantine of requests that crash targets."""
--- a/jasperweir/components/quarantine/fingerprint.py
+++ b/jasperweir/components/quarantine/fingerprint.py
@@ -1,4 +1,4 @@
-"""What makes two tries the same request, whatever their ids; sans-I/O."""
+"""Fingerprint of a request by which its attempts are recognized; sans-I/O."""
 
 import hashlib
 from typing import NamedTuple
@@ -13,9 +13,9 @@
     """Identity of a request's content.
 
     Attributes:
-        outline: Hash of everything but the body, for a quick comparison. The
-            body's length is part of it.
-        content: Cryptographic digest of the whole, body included.
+        outline: Hash of everything but the body, for a quick comparison; it
+            includes the length of the body.
+        content: Cryptographic digest of everything including the body.
     """
 
     outline: int
@@ -23,22 +23,21 @@
 
     @property
     def label(self) -> str:
-        """Name of the request in logs and on the metrics address."""
+        """Name of the request in logs and on the page for operators."""
         return self.content.hex()
 
 
 class Subject(NamedTuple):
-    """What identifies a request.
+    """Parts of a request that identify it.
 
-    Headers other than the host are left out: a caller that sends a request
-    again may give them new values.
+    Headers other than the host are left out, because a retry may change them.
 
     Attributes:
-        method: Its method.
-        host: Host, or service, that it is meant for.
-        target: Its path and query.
-        customer: Name of the customer whose key it bears, or empty.
-        body: Its body.
+        method: HTTP method.
+        host: Host or service that the request is for.
+        target: Path and query.
+        customer: Name of the customer whose key it carries, or empty.
+        body: Body.
     """
 
     method: bytes
@@ -49,7 +48,7 @@
 
 
 def subject(req: http_message.Request, customer: str) -> Subject:
-    """Return what identifies a request that a caller sent over HTTP."""
+    """Return the identifying parts of an HTTP request."""
     return Subject(
         method=req.method,
         host=(req.header(b"host") or b"").lower(),
@@ -60,7 +59,7 @@
 
 
 def outline(what: Subject) -> int:
-    """Hash all that identifies a request but its body."""
+    """Return the hash of the identifying parts without the body."""
     return xxhash.xxh3_64_intdigest(_frame(what))
 
 
--- a/jasperweir/components/quarantine/ledger.py
+++ b/jasperweir/components/quarantine/ledger.py
@@ -1,9 +1,8 @@
-"""Which requests targets ended under, and which are kept from targets.
+"""Requests under which targets crashed, and their quarantine; sans-I/O.
 
-A set of marks, one for each request and each incarnation of a target that
-ended while it had it. A mark is added, or turns void, and never turns back, so
-that processes may tell each other theirs in any order and as often as they
-like and agree in the end. Sans-I/O.
+The ledger is a set of marks, one for each request and each incarnation of a
+target that crashed while it ran the request. A mark is only ever added or made
+void, so that replicas converge whatever the order and number of exchanges.
 """
 
 import collections
@@ -22,7 +21,12 @@
 
 
 class Incarnation(NamedTuple):
-    """One start of a target."""
+    """One incarnation of a target.
+
+    Attributes:
+        target_id: Id of the target.
+        born: Start time, Unix milliseconds.
+    """
 
     target_id: str
     born: int
@@ -30,13 +34,13 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class End:
-    """A target ended under a request.
+    """A crash of a target under a request.
 
     Attributes:
-        at: When, monotonic seconds.
-        void: Whether it counts no more.
-        ran_s: For how long it had the request by then, seconds; less than none
-            if that is not known.
+        at: Time of the crash, monotonic seconds.
+        void: Whether it doesn't count any more.
+        ran_s: Time from the start of the request to the crash, seconds;
+            negative if unknown.
     """
 
     at: float
@@ -45,11 +49,11 @@
 
 
 class Run(NamedTuple):
-    """A run that ended with its target.
+    """A run of a request during which its target crashed.
 
     Attributes:
-        ended_s: Seconds since its end.
-        took_s: Seconds from its begin to its end.
+        ended_s: Time since its end, seconds.
+        took_s: Its duration, seconds.
     """
 
     ended_s: float
@@ -57,12 +61,12 @@
 
 
 class Verdict(NamedTuple):
-    """What is known of a request.
+    """Quarantine status of a request.
 
     Attributes:
-        ends: Ends of targets under it that count; those that one cause may
-            have brought about together count as one.
-        held_s: Seconds for which it is still kept from targets, 0 if it isn't.
+        ends: Crashes that count; those with a common cause count as one.
+        held_s: Remaining time of its quarantine, seconds; 0 if it isn't
+            quarantined.
     """
 
     ends: int
@@ -70,7 +74,7 @@
 
 
 class Ledger:
-    """Marks of one process.
+    """The marks that one process keeps.
 
     Attributes:
         digest: Digest of all marks, 0 if there are none.
@@ -79,7 +83,7 @@
     def __init__(self) -> None:
         self.digest = 0
         self._ends: dict[Fingerprint, dict[Incarnation, End]] = {}
-        # Requests by outline, and counted marks by incarnation.
+        # Number of requests by outline, and of valid marks by incarnation.
         self._outlines: collections.Counter[int] = collections.Counter()
         self._suspected: collections.Counter[Incarnation] = (
             collections.Counter()
@@ -91,22 +95,21 @@
     # Queries.
 
     def knows(self, outline: int) -> bool:
-        """Tell whether any request of that outline is remembered."""
+        """Return whether a request with that outline is in the ledger."""
         return outline in self._outlines
 
     def find(self, what: fingerprint_lib.Subject) -> Fingerprint | None:
-        """Return a request's fingerprint if it may be remembered.
+        """Return a request's fingerprint, None if it isn't in the ledger.
 
-        Bodies are hashed of those only that look like a remembered one, so
-        that calm times cost nothing and others the hash of a few hundred
-        bytes, however large the bodies are.
+        The body is hashed only if the outline matches, so that other requests
+        cost the hash of a few hundred bytes at most.
         """
         if not self._ends or not self.knows(fingerprint_lib.outline(what)):
             return None
         return fingerprint_lib.of(what)
 
     def verdict(self, fingerprint: Fingerprint, now: float) -> Verdict:
-        """Tell whether a request is kept from targets."""
+        """Return the quarantine status of a request."""
         ends = self._ends.get(fingerprint)
         if not ends:
             return Verdict(0, 0.0)
@@ -118,7 +121,7 @@
         return Verdict(len(apart), max(until - now, 0.0))
 
     def held(self, now: float) -> dict[Fingerprint, Verdict]:
-        """Return the requests that are kept from targets."""
+        """Return the quarantined requests."""
         found = {f: self.verdict(f, now) for f in self._ends}
         return {f: verdict for f, verdict in found.items() if verdict.held_s}
 
@@ -133,7 +136,7 @@
     def lacking(
         self, told: tuple[messages.Mark, ...], now: float
     ) -> tuple[messages.Mark, ...]:
-        """Return the marks that are news to whoever has told all its marks."""
+        """Return the marks that are missing in all marks of a process."""
         known = {_key(mark): mark.void for mark in told}
         return tuple(
             mark
@@ -141,7 +144,7 @@
             if _key(mark) not in known or (mark.void and not known[_key(mark)])
         )
 
-    # Changes; each returns the marks that others are to be told.
+    # Changes; each returns the marks to send to other processes.
 
     def add(
         self,
@@ -150,13 +153,13 @@
         now: float,
         run: Run | None = None,
     ) -> tuple[messages.Mark, ...]:
-        """Note that a target ended while it had a request.
+        """Record that a target crashed while it ran a request.
 
         Args:
             fingerprint: The request.
             incarnation: The target.
             now: Monotonic seconds.
-            run: Its run there, None if it is not known when it was.
+            run: The run of the request; None if its times are unknown.
         """
         end = End(at=now, void=False)
         if run is not None:
@@ -166,7 +169,7 @@
     def absolve(
         self, fingerprint: Fingerprint, now: float
     ) -> tuple[messages.Mark, ...]:
-        """Note that a request was answered whole."""
+        """Make the marks of a request void after a complete answer."""
         out: tuple[messages.Mark, ...] = ()
         for incarnation, end in list(self._ends.get(fingerprint, {}).items()):
             if not end.void:
@@ -177,12 +180,12 @@
     def lives(
         self, incarnation: Incarnation, since: float, now: float
     ) -> tuple[messages.Mark, ...]:
-        """Note that a target has answered a request.
+        """Make the marks of a target void that has answered a request.
 
         Args:
             incarnation: The target.
-            since: When it was sent that request, monotonic seconds. What it
-                had begun to answer before its presumed end proves nothing.
+            since: When that request was sent, monotonic seconds. An answer
+                begun before the presumed crash doesn't disprove it.
             now: Monotonic seconds.
         """
         out: tuple[messages.Mark, ...] = ()
@@ -198,7 +201,7 @@
     def lift(
         self, fingerprints: list[Fingerprint], now: float
     ) -> tuple[messages.Mark, ...]:
-        """Let requests go to targets again, as an operator says."""
+        """Lift the quarantine of requests for an operator."""
         out: tuple[messages.Mark, ...] = ()
         for fingerprint in fingerprints:
             out += self.absolve(fingerprint, now)
@@ -207,12 +210,12 @@
     def merge(
         self, told: tuple[messages.Mark, ...], now: float
     ) -> tuple[messages.Mark, ...]:
-        """Take in marks of another process; return those that were news."""
+        """Merge the marks of another process; return those that were new."""
         out: tuple[messages.Mark, ...] = ()
         for mark in told:
             fingerprint = _of(mark)
             incarnation = Incarnation(mark.target_id, mark.born)
-            # In this order a NaN counts as 0: it would never be forgotten.
+            # This order maps NaN to 0; otherwise the mark would never expire.
             at = now - max(0.0, mark.age_s)
             ran_s = mark.ran_s if mark.ran_s >= 0 else _UNKNOWN
             end = End(at=at, void=mark.void, ran_s=ran_s)
@@ -221,7 +224,7 @@
         return tuple(mark for mark in out if _of(mark) in self._ends)
 
     def tick(self, now: float) -> None:
-        """Forget what is old."""
+        """Drop expired requests."""
         for fingerprint, ends in list(self._ends.items()):
             last = max(end.at for end in ends.values())
             if now - last > _kept_s(_counted(ends)):
@@ -239,7 +242,7 @@
         ends = self._ends.get(fingerprint)
         known = ends.get(incarnation) if ends else None
         if known is not None:
-            # The way of a message takes time: the earlier reading is right.
+            # The earlier time is right: a message adds its transit time.
             known.at = min(known.at, end.at)
             if known.void or not end.void:
                 return ()
@@ -273,10 +276,10 @@
         ends: dict[Incarnation, End],
         new: End,
     ) -> bool:
-        """Forget the oldest mark that does not count for one that may.
+        """Drop the oldest mark that doesn't count in favour of a new one.
 
-        Without it a request that was blamed wrongly often enough, or ran on
-        many targets that ended together, could never be held.
+        Otherwise marks that are void, or of targets that crashed together,
+        could fill the limit and prevent a quarantine.
         """
         counted = {id(end) for end in _apart(ends)}
         idle = [inc for inc, end in ends.items() if id(end) not in counted]
@@ -287,7 +290,7 @@
         return True
 
     def _evict(self) -> None:
-        """Forget the request with the fewest ends, the oldest of them."""
+        """Drop the request with the fewest crashes, the oldest first."""
         self._drop(min(self._ends, key=self._rank))
 
     def _rank(self, fingerprint: Fingerprint) -> tuple[int, float]:
@@ -328,11 +331,11 @@
 
 
 def _apart(ends: dict[Incarnation, End]) -> list[End]:
-    """Return the ends that count, of those with one cause only the first.
+    """Return the crashes that count, only the first of each common cause.
 
-    Targets that lose power together end under requests that are well. A run
-    that began after another one had ended has not ended by the same, but for
-    one that was sent on to the next target that was just about to end.
+    Targets that lose power together crash under harmless requests. A run that
+    began after another one had crashed has another cause, unless it was retried
+    on a target that was about to crash together with the first.
     """
     found: list[End] = []
     times = [end.at for end in ends.values() if _has_run(end)]
@@ -361,15 +364,16 @@
 
 
 def _hold_s(ends: int) -> float:
-    """Return for how long a request is held after the last of its ends."""
+    """Return the duration of a quarantine after the last crash, seconds."""
     doubled = const.HOLD_SECONDS * 2.0 ** (ends - const.ENDS_MAX)
     return min(doubled, const.HOLD_MAX_SECONDS)
 
 
 def _kept_s(ends: int) -> float:
-    """Return for how long a request is remembered after its last end.
+    """Return how long a request is kept after its last crash, seconds.
 
-    Twice its hold, so that one that comes back after it is held for longer.
+    Twice its quarantine, so that the next one is longer if it crashes a target
+    again.
     """
     if ends < const.ENDS_MAX:
         return const.FORGET_SECONDS
--- a/jasperweir/components/quarantine/messages.py
+++ b/jasperweir/components/quarantine/messages.py
@@ -1,4 +1,4 @@
-"""Messages between our processes about requests under which targets end."""
+"""Messages by which processes exchange quarantine marks."""
 
 from typing import NamedTuple
 
@@ -6,19 +6,20 @@
 
 
 class Mark(NamedTuple):
-    """One target ended while it had one request.
+    """A target crashed while it ran a request.
 
     Attributes:
         outline: Hash of the request without its body.
-        content: Digest of the request, body included.
+        content: Digest of the request with its body.
         target_id: Id of the target.
-        born: Start of the target, Unix milliseconds by its own clock; with the
-            id this is its incarnation.
-        void: Whether it counts no more: the target has answered since, the
-            request was answered whole, or an operator has lifted it.
-        age_s: Seconds since the end.
-        ran_s: Seconds for which it had the request by then, less than none if
-            that is not known.
+        born: Start time of the target, Unix milliseconds by its own clock; with
+            the id it names the incarnation.
+        void: Whether the mark doesn't count any more: the target has answered
+            since, the request was answered completely, or an operator has
+            lifted its quarantine.
+        age_s: Time since the crash, seconds.
+        ran_s: Time from the start of the request to the crash, seconds;
+            negative if unknown.
     """
 
     outline: int
@@ -32,11 +33,11 @@
 
 @codec.message("quarantine.marks")
 class Marks(NamedTuple):
-    """Marks that the receiver may not have.
+    """Marks that the receiver may lack.
 
     Attributes:
         marks: The marks.
-        whole: Whether these are all that the sender has.
+        whole: Whether these are all marks of the sender.
     """
 
     marks: tuple[Mark, ...]
@@ -45,6 +46,10 @@
 
 @codec.message("quarantine.compare")
 class Compare(NamedTuple):
-    """Asks for all marks of a control VM whose digest differs."""
+    """Requests all marks of a process whose digest differs.
+
+    Attributes:
+        digest: Digest of the sender's marks.
+    """
 
     digest: int
--- a/jasperweir/components/quarantine/spread.py
+++ b/jasperweir/components/quarantine/spread.py
@@ -1,9 +1,9 @@
-"""How marks reach every entry: told at once, and compared now and then.
+"""Replication of quarantine marks between processes; sans-I/O.
 
-An entry tells the entries that it talks to anyway, and the control VMs; these
-tell the entries that they look after, and each other. An entry that a message
-did not reach, or that has started again, finds the difference when it compares
-its digest with a control VM. Sans-I/O.
+An entry sends new marks to its peer entries and to the control VMs, which
+forward them to their entries and to each other. An entry that has missed a
+message or has restarted detects the difference when it compares its digest with
+a control VM, and receives all marks.
 """
 
 from collections.abc import Iterable
@@ -19,7 +19,7 @@
 
 
 def tell(marks: tuple[messages.Mark, ...], names: Iterable[str]) -> Sends:
-    """Return the sends that tell of marks."""
+    """Return the sends of marks to processes."""
     if not marks:
         return []
     msg = messages.Marks(marks=marks)
@@ -28,11 +28,11 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Told:
-    """All marks were told to another process.
+    """The last time that all marks were sent to a process.
 
     Attributes:
-        pause_s: For how long they are not told again, seconds.
-        at: When they were told, monotonic seconds.
+        pause_s: Time for which they are not sent again, seconds.
+        at: When they were sent, monotonic seconds.
     """
 
     pause_s: float
@@ -40,14 +40,14 @@
 
 
 class Comparer:
-    """Answer those whose digest differs with all marks, not too often."""
+    """Answers digests that differ with all marks, at a limited rate."""
 
     def __init__(self, *, ledger: ledger_lib.Ledger) -> None:
         self._ledger = ledger
         self._told: dict[str, Told] = {}
 
     def receive(self, src: str, msg: messages.Compare, now: float) -> Sends:
-        """Handle the question of another process."""
+        """Compare the digest of another process."""
         if msg.digest == self._ledger.digest:
             self._told.pop(src, None)
             return []
@@ -66,7 +66,7 @@
 
 
 class EntrySpread:
-    """What an entry tells and is told."""
+    """Replication of marks at an entry."""
 
     def __init__(self, *, ledger: ledger_lib.Ledger) -> None:
         self._ledger = ledger
@@ -74,10 +74,10 @@
         self._asked = 0
 
     def compare(self, others: list[str]) -> Sends:
-        """Compare with the next of other processes, in turn.
+        """Compare digests with the next process in turn.
 
         Args:
-            others: Names of those that answer at present.
+            others: Names of the reachable control VMs.
         """
         if not others:
             return []
@@ -87,7 +87,7 @@
         return [core.Send(dst=name, msg=msg)]
 
     def receive(self, src: str, msg: Message, now: float) -> Sends:
-        """Take in marks; tell the sender of all its marks what it lacks."""
+        """Handle a message; answer a complete set with the missing marks."""
         match msg:
             case messages.Compare():
                 return self._comparer.receive(src, msg, now)
@@ -100,14 +100,14 @@
 
 
 class ControlSpread:
-    """What a control VM tells and is told."""
+    """Replication of marks at a control VM."""
 
     def __init__(self) -> None:
         self._ledger = ledger_lib.Ledger()
         self._comparer = Comparer(ledger=self._ledger)
 
     def tick(self, now: float) -> None:
-        """Forget what is old."""
+        """Drop expired requests."""
         self._ledger.tick(now)
 
     def receive(
@@ -122,10 +122,10 @@
         """Handle a message of an entry or another control VM.
 
         Args:
-            src: Its sender.
-            msg: Marks or Compare.
-            entries: Entries that this control VM looks after.
-            controls: The other control VMs.
+            src: Name of the sender.
+            msg: The message.
+            entries: Names of the entries that this control VM serves.
+            controls: Names of the other control VMs.
             now: Monotonic seconds.
         """
         match msg:
--- a/jasperweir/components/quarantine/suspects.py
+++ b/jasperweir/components/quarantine/suspects.py
@@ -1,9 +1,9 @@
-"""Which requests ran on a target that may have ended; sans-I/O.
+"""Requests that ran on a target that may have crashed; sans-I/O.
 
-A connection that breaks before an answer is whole tells of a target that has
-ended, or of a network, or of an answer that was cut. Only the first says
-anything about the requests that ran there, and a new connection tells it from
-the others: where nothing listens any more it is refused.
+A connection that breaks before an answer is complete may have been cut by the
+network or by the target, or the target has crashed. Only a crash is evidence
+against the requests that ran there. A new connection shows it: it is refused if
+no process listens any more.
 """
 
 from collections.abc import Callable
@@ -17,10 +17,10 @@
 
 
 class Try(NamedTuple):
-    """One run whose connection broke.
+    """An attempt whose connection broke.
 
     Attributes:
-        request_id: Id by which its caller knows it.
+        request_id: Id of the request as known to its caller.
         began_at: When it was sent, monotonic seconds.
         broke_at: When its connection broke, monotonic seconds.
     """
@@ -32,11 +32,11 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Case:
-    """Requests whose connections to one incarnation of a target broke.
+    """Requests whose connections to an incarnation of a target broke.
 
     Attributes:
-        target: The incarnation.
-        suspects: Their fingerprints, each with one try.
+        target: The target.
+        suspects: One attempt of each request by its fingerprint.
     """
 
     target: records.Target
@@ -44,11 +44,11 @@
 
 
 class Suspects:
-    """Cases that wait for a check of their target."""
+    """Cases whose targets have to be checked."""
 
     def __init__(self) -> None:
         self._cases: dict[tuple[str, int], Case] = {}
-        # Until when each case is kept whose target gave no sign.
+        # Cases whose targets didn't answer the check, with their expiry.
         self._unclear: list[tuple[float, Case]] = []
 
     def on_broken(
@@ -57,10 +57,10 @@
         fingerprint: fingerprint_lib.Fingerprint,
         broken: Try,
     ) -> bool:
-        """Note a request whose connection broke.
+        """Record a request whose connection broke.
 
         Returns:
-            Whether the target is to be checked; one check serves all of them.
+            Whether to check the target: one check serves all its requests.
         """
         key = (target.target_id, target.born)
         case = self._cases.get(key)
@@ -73,17 +73,17 @@
         return is_first
 
     def keep(self, case: Case, now: float) -> None:
-        """Keep a case whose target gave no sign, until it is clear."""
+        """Keep a case whose target didn't answer the check for a time."""
         self._unclear.append((now + const.UNCLEAR_SECONDS, case))
 
     def cleared(
         self, serving: Callable[[str], list[records.Target]], now: float
     ) -> list[Case]:
-        """Return the cases whose targets have been replaced at their address.
+        """Remove and return the cases whose targets have been replaced.
 
         Args:
-            serving: Returns the targets that serve a service; of two at one
-                address the newer only.
+            serving: Returns the targets of a service; of two at one address
+                only the newer.
             now: Monotonic seconds.
         """
         ended = []
@@ -98,7 +98,7 @@
         return ended
 
     def on_checked(self, target: records.Target) -> Case | None:
-        """Close the case of a target that has been checked."""
+        """Remove and return the case of a target that has been checked."""
         return self._cases.pop((target.target_id, target.born), None)
 
 
