--- a/features/steps/quarantine_forward_steps.py
+++ b/features/steps/quarantine_forward_steps.py
@@ -17,7 +17,7 @@
 WHAT = "bad"
 
 
-def remember(forwarder, req, count=const.ENDS_MAX):
+def remember(forwarder, req, count=const.CRASHES_MAX):
     what = quarantine.of(req, "")
     for number in range(count):
         forwarder.ends.ledger.add(
--- a/features/steps/quarantine_ledger_steps.py
+++ b/features/steps/quarantine_ledger_steps.py
@@ -147,7 +147,7 @@
     scene = context.scene
     scene.run(0.2)
     ledger = scene.entries["e2"].ledger
-    held = list(ledger.held(scene.now))
+    held = list(ledger.list_quarantined(scene.now))
     scene.tell("e2", ledger.lift(held, scene.now))
 
 
@@ -319,7 +319,7 @@
         second.merge(first.marks(1000.0), 1000.0)
         assert first.digest == second.digest
         assert len(first) <= const.RECORDS_MAX
-        later = 1000.0 + 3 * const.HOLD_MAX_SECONDS
+        later = 1000.0 + 3 * const.QUARANTINE_MAX_SECONDS
         first.tick(later)
         assert len(first) == 0, first.marks(later)
         assert first.digest == 0
--- a/features/steps/quarantine_marks_steps.py
+++ b/features/steps/quarantine_marks_steps.py
@@ -83,7 +83,7 @@
 def step_nothing(context):
     assert len(context.ledger) == 0
     assert context.ledger.digest == 0
-    assert not context.ledger.knows(context.what.outline)
+    assert not context.ledger.has_outline(context.what.outline)
 
 
 @then("{count:d} requests are remembered")
--- a/jasperweir/components/quarantine/const.py
+++ b/jasperweir/components/quarantine/const.py
@@ -7,7 +7,7 @@
 # A target that didn't answer the check may have been lost with its VM. It has
 # crashed if another incarnation takes its address within this time, seconds; a
 # restart of the VM takes longer than one of the process.
-UNCLEAR_SECONDS = 10.0
+REPLACEMENT_SECONDS = 10.0
 # Requests that are recorded for one target that may have crashed.
 SUSPECTS_MAX = 32
 # Bytes of the digest of a request's content. It has to be collision-resistant:
@@ -17,19 +17,19 @@
 # A request is quarantined once this many targets have crashed under it without
 # a complete answer in between. A single crash is weak evidence, since other
 # requests ran on the target too.
-ENDS_MAX = 2
+CRASHES_MAX = 2
 # A run that began at most this long before another one crashed counts as begun
 # after it, seconds: the ages of marks lose that much in transit.
-APART_SECONDS = 0.05
-# At least this many targets that crash within TOGETHER_SECONDS under one
+AGE_TOLERANCE_SECONDS = 0.05
+# At least this many targets that crash within COMMON_CAUSE_SECONDS under one
 # request have one cause, which may not be the request.
-TOGETHER_LEAST = 3
-TOGETHER_SECONDS = 0.25
+COMMON_CAUSE_MIN = 3
+COMMON_CAUSE_SECONDS = 0.25
 # Duration of a quarantine, seconds; doubled with each further crash.
-HOLD_SECONDS = 600.0
-HOLD_MAX_SECONDS = 86400.0
+QUARANTINE_SECONDS = 600.0
+QUARANTINE_MAX_SECONDS = 86400.0
 # A request with a single crash is dropped after this long, seconds.
-FORGET_SECONDS = 600.0
+SINGLE_CRASH_TTL_SECONDS = 600.0
 # Requests in the ledger; those with the fewest crashes are dropped first.
 RECORDS_MAX = 512
 # Marks that are kept of one request.
@@ -40,6 +40,6 @@
 # Pause before all marks are sent again to a process whose digest still differs,
 # seconds. It grows with each exchange, because two full ledgers may differ
 # permanently.
-EXCHANGE_LEAST_SECONDS = 0.5
+EXCHANGE_MIN_SECONDS = 0.5
 EXCHANGE_GROWTH = 1.25
-EXCHANGE_MOST_SECONDS = 30.0
+EXCHANGE_MAX_SECONDS = 30.0
--- a/jasperweir/components/quarantine/fingerprint.py
+++ b/jasperweir/components/quarantine/fingerprint.py
@@ -58,21 +58,27 @@
     )
 
 
-def outline(what: Subject) -> int:
+def outline(parts: Subject) -> int:
     """Return the hash of the identifying parts without the body."""
-    return xxhash.xxh3_64_intdigest(_frame(what))
+    return xxhash.xxh3_64_intdigest(_encode_parts(parts))
 
 
-def of(what: Subject) -> Fingerprint:
+def of(parts: Subject) -> Fingerprint:
     """Return the fingerprint of a request."""
     digest = hashlib.blake2b(digest_size=const.CONTENT_BYTES)
-    digest.update(_frame(what))
-    digest.update(what.body)
-    return Fingerprint(outline(what), digest.digest())
+    digest.update(_encode_parts(parts))
+    digest.update(parts.body)
+    return Fingerprint(outline(parts), digest.digest())
 
 
-def _frame(what: Subject) -> bytes:
-    size = b"%d" % len(what.body)
+def _encode_parts(parts: Subject) -> bytes:
+    size = b"%d" % len(parts.body)
     # Neither a request line nor a header value may hold a line feed.
-    parts = (what.method, what.host, what.target, what.customer.encode(), size)
-    return b"\n".join(parts)
+    lines = (
+        parts.method,
+        parts.host,
+        parts.target,
+        parts.customer.encode(),
+        size,
+    )
+    return b"\n".join(lines)
--- a/jasperweir/components/quarantine/ledger.py
+++ b/jasperweir/components/quarantine/ledger.py
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class End:
+class Crash:
     """A crash of a target under a request.
 
     Attributes:
@@ -82,66 +82,69 @@
 
     def __init__(self) -> None:
         self.digest = 0
-        self._ends: dict[Fingerprint, dict[Incarnation, End]] = {}
+        self._crashes: dict[Fingerprint, dict[Incarnation, Crash]] = {}
         # Number of requests by outline, and of valid marks by incarnation.
         self._outlines: collections.Counter[int] = collections.Counter()
-        self._suspected: collections.Counter[Incarnation] = (
+        self._mark_counts: collections.Counter[Incarnation] = (
             collections.Counter()
         )
 
     def __len__(self) -> int:
-        return len(self._ends)
+        return len(self._crashes)
 
     # Queries.
 
-    def knows(self, outline: int) -> bool:
+    def has_outline(self, outline: int) -> bool:
         """Return whether a request with that outline is in the ledger."""
         return outline in self._outlines
 
-    def find(self, what: fingerprint_lib.Subject) -> Fingerprint | None:
+    def find(self, subject: fingerprint_lib.Subject) -> Fingerprint | None:
         """Return a request's fingerprint, None if it isn't in the ledger.
 
         The body is hashed only if the outline matches, so that other requests
         cost the hash of a few hundred bytes at most.
         """
-        if not self._ends or not self.knows(fingerprint_lib.outline(what)):
+        if not self._crashes or not self.has_outline(
+            fingerprint_lib.outline(subject)
+        ):
             return None
-        return fingerprint_lib.of(what)
+        return fingerprint_lib.of(subject)
 
     def verdict(self, fingerprint: Fingerprint, now: float) -> Verdict:
         """Return the quarantine status of a request."""
-        ends = self._ends.get(fingerprint)
-        if not ends:
+        crashes = self._crashes.get(fingerprint)
+        if not crashes:
             return Verdict(0, 0.0)
-        apart = _apart(ends)
-        if len(apart) < const.ENDS_MAX:
-            return Verdict(len(apart), 0.0)
-        last = max(end.at for end in ends.values() if not end.void)
-        until = last + _hold_s(len(apart))
-        return Verdict(len(apart), max(until - now, 0.0))
-
-    def held(self, now: float) -> dict[Fingerprint, Verdict]:
+        distinct = _distinct_crashes(crashes)
+        if len(distinct) < const.CRASHES_MAX:
+            return Verdict(len(distinct), 0.0)
+        last = max(crash.at for crash in crashes.values() if not crash.void)
+        until = last + _quarantine_s(len(distinct))
+        return Verdict(len(distinct), max(until - now, 0.0))
+
+    def list_quarantined(self, now: float) -> dict[Fingerprint, Verdict]:
         """Return the quarantined requests."""
-        found = {f: self.verdict(f, now) for f in self._ends}
+        found = {f: self.verdict(f, now) for f in self._crashes}
         return {f: verdict for f, verdict in found.items() if verdict.held_s}
 
     def marks(self, now: float) -> tuple[messages.Mark, ...]:
         """Return all marks."""
         return tuple(
-            _mark(fingerprint, incarnation, end, now)
-            for fingerprint, ends in self._ends.items()
-            for incarnation, end in ends.items()
+            _to_mark(fingerprint, incarnation, crash, now)
+            for fingerprint, crashes in self._crashes.items()
+            for incarnation, crash in crashes.items()
         )
 
-    def lacking(
-        self, told: tuple[messages.Mark, ...], now: float
+    def missing_marks(
+        self, received: tuple[messages.Mark, ...], now: float
     ) -> tuple[messages.Mark, ...]:
         """Return the marks that are missing in all marks of a process."""
-        known = {_key(mark): mark.void for mark in told}
+        known = {_mark_key(mark): mark.void for mark in received}
         return tuple(
             mark
             for mark in self.marks(now)
-            if _key(mark) not in known or (mark.void and not known[_key(mark)])
+            if _mark_key(mark) not in known
+            or (mark.void and not known[_mark_key(mark)])
         )
 
     # Changes; each returns the marks to send to other processes.
@@ -161,20 +164,22 @@
             now: Monotonic seconds.
             run: The run of the request; None if its times are unknown.
         """
-        end = End(at=now, void=False)
+        crash = Crash(at=now, void=False)
         if run is not None:
-            end = End(at=now - run.ended_s, void=False, ran_s=run.took_s)
-        return self._put(fingerprint, incarnation, end, now)
+            crash = Crash(at=now - run.ended_s, void=False, ran_s=run.took_s)
+        return self._insert(fingerprint, incarnation, crash, now)
 
     def absolve(
         self, fingerprint: Fingerprint, now: float
     ) -> tuple[messages.Mark, ...]:
         """Make the marks of a request void after a complete answer."""
         out: tuple[messages.Mark, ...] = ()
-        for incarnation, end in list(self._ends.get(fingerprint, {}).items()):
-            if not end.void:
-                new = End(at=end.at, void=True)
-                out += self._put(fingerprint, incarnation, new, now)
+        for incarnation, crash in list(
+            self._crashes.get(fingerprint, {}).items()
+        ):
+            if not crash.void:
+                new = Crash(at=crash.at, void=True)
+                out += self._insert(fingerprint, incarnation, new, now)
         return out
 
     def lives(
@@ -189,13 +194,13 @@
             now: Monotonic seconds.
         """
         out: tuple[messages.Mark, ...] = ()
-        if incarnation not in self._suspected:
+        if incarnation not in self._mark_counts:
             return out
-        for fingerprint, ends in list(self._ends.items()):
-            end = ends.get(incarnation)
-            if end is not None and not end.void and end.at < since:
-                new = End(at=end.at, void=True)
-                out += self._put(fingerprint, incarnation, new, now)
+        for fingerprint, crashes in list(self._crashes.items()):
+            crash = crashes.get(incarnation)
+            if crash is not None and not crash.void and crash.at < since:
+                new = Crash(at=crash.at, void=True)
+                out += self._insert(fingerprint, incarnation, new, now)
         return out
 
     def lift(
@@ -208,119 +213,129 @@
         return out
 
     def merge(
-        self, told: tuple[messages.Mark, ...], now: float
+        self, received: tuple[messages.Mark, ...], now: float
     ) -> tuple[messages.Mark, ...]:
         """Merge the marks of another process; return those that were new."""
         out: tuple[messages.Mark, ...] = ()
-        for mark in told:
-            fingerprint = _of(mark)
+        for mark in received:
+            fingerprint = _fingerprint_of(mark)
             incarnation = Incarnation(mark.target_id, mark.born)
             # This order maps NaN to 0; otherwise the mark would never expire.
             at = now - max(0.0, mark.age_s)
             ran_s = mark.ran_s if mark.ran_s >= 0 else _UNKNOWN
-            end = End(at=at, void=mark.void, ran_s=ran_s)
-            out += self._put(fingerprint, incarnation, end, now)
+            crash = Crash(at=at, void=mark.void, ran_s=ran_s)
+            out += self._insert(fingerprint, incarnation, crash, now)
         self.tick(now)
-        return tuple(mark for mark in out if _of(mark) in self._ends)
+        return tuple(
+            mark for mark in out if _fingerprint_of(mark) in self._crashes
+        )
 
     def tick(self, now: float) -> None:
         """Drop expired requests."""
-        for fingerprint, ends in list(self._ends.items()):
-            last = max(end.at for end in ends.values())
-            if now - last > _kept_s(_counted(ends)):
+        for fingerprint, crashes in list(self._crashes.items()):
+            last = max(crash.at for crash in crashes.values())
+            if now - last > _ttl_s(_count_valid(crashes)):
                 self._drop(fingerprint)
 
     # Upkeep.
 
-    def _put(
+    def _insert(
         self,
         fingerprint: Fingerprint,
         incarnation: Incarnation,
-        end: End,
+        crash: Crash,
         now: float,
     ) -> tuple[messages.Mark, ...]:
-        ends = self._ends.get(fingerprint)
-        known = ends.get(incarnation) if ends else None
+        crashes = self._crashes.get(fingerprint)
+        known = crashes.get(incarnation) if crashes else None
         if known is not None:
             # The earlier time is right: a message adds its transit time.
-            known.at = min(known.at, end.at)
-            if known.void or not end.void:
+            known.at = min(known.at, crash.at)
+            if known.void or not crash.void:
                 return ()
-            self._take_out(fingerprint, incarnation, known)
+            self._unindex(fingerprint, incarnation, known)
             known.void = True
-            self._put_in(fingerprint, incarnation, known)
-            return (_mark(fingerprint, incarnation, known, now),)
-        if ends is None:
-            ends = self._begin(fingerprint)
-        if len(ends) >= const.MARKS_MAX and not self._make_room(
-            fingerprint, ends, end
+            self._index(fingerprint, incarnation, known)
+            return (_to_mark(fingerprint, incarnation, known, now),)
+        if crashes is None:
+            crashes = self._add_request(fingerprint)
+        if len(crashes) >= const.MARKS_MAX and not self._make_room(
+            fingerprint, crashes, crash
         ):
             return ()
-        ends[incarnation] = end
-        self._put_in(fingerprint, incarnation, end)
-        if len(self._ends) > const.RECORDS_MAX:
+        crashes[incarnation] = crash
+        self._index(fingerprint, incarnation, crash)
+        if len(self._crashes) > const.RECORDS_MAX:
             self._evict()
-        if fingerprint not in self._ends:
+        if fingerprint not in self._crashes:
             return ()
-        return (_mark(fingerprint, incarnation, end, now),)
+        return (_to_mark(fingerprint, incarnation, crash, now),)
 
-    def _begin(self, fingerprint: Fingerprint) -> dict[Incarnation, End]:
-        ends: dict[Incarnation, End] = {}
-        self._ends[fingerprint] = ends
+    def _add_request(
+        self, fingerprint: Fingerprint
+    ) -> dict[Incarnation, Crash]:
+        crashes: dict[Incarnation, Crash] = {}
+        self._crashes[fingerprint] = crashes
         self._outlines[fingerprint.outline] += 1
-        return ends
+        return crashes
 
     def _make_room(
         self,
         fingerprint: Fingerprint,
-        ends: dict[Incarnation, End],
-        new: End,
+        crashes: dict[Incarnation, Crash],
+        new: Crash,
     ) -> bool:
         """Drop the oldest mark that doesn't count in favour of a new one.
 
         Otherwise marks that are void, or of targets that crashed together,
         could fill the limit and prevent a quarantine.
         """
-        counted = {id(end) for end in _apart(ends)}
-        idle = [inc for inc, end in ends.items() if id(end) not in counted]
-        if new.void or not idle:
+        counted_ids = {id(crash) for crash in _distinct_crashes(crashes)}
+        uncounted = [
+            inc
+            for inc, crash in crashes.items()
+            if id(crash) not in counted_ids
+        ]
+        if new.void or not uncounted:
             return False
-        oldest = min(idle, key=lambda incarnation: ends[incarnation].at)
-        self._take_out(fingerprint, oldest, ends.pop(oldest))
+        oldest = min(uncounted, key=lambda incarnation: crashes[incarnation].at)
+        self._unindex(fingerprint, oldest, crashes.pop(oldest))
         return True
 
     def _evict(self) -> None:
         """Drop the request with the fewest crashes, the oldest first."""
-        self._drop(min(self._ends, key=self._rank))
+        self._drop(min(self._crashes, key=self._eviction_rank))
 
-    def _rank(self, fingerprint: Fingerprint) -> tuple[int, float]:
-        ends = self._ends[fingerprint]
-        return _counted(ends), max(end.at for end in ends.values())
+    def _eviction_rank(self, fingerprint: Fingerprint) -> tuple[int, float]:
+        crashes = self._crashes[fingerprint]
+        return _count_valid(crashes), max(
+            crash.at for crash in crashes.values()
+        )
 
     def _drop(self, fingerprint: Fingerprint) -> None:
-        for incarnation, end in self._ends.pop(fingerprint).items():
-            self._take_out(fingerprint, incarnation, end)
+        for incarnation, crash in self._crashes.pop(fingerprint).items():
+            self._unindex(fingerprint, incarnation, crash)
         _count_down(self._outlines, fingerprint.outline)
 
-    def _put_in(
-        self, fingerprint: Fingerprint, incarnation: Incarnation, end: End
+    def _index(
+        self, fingerprint: Fingerprint, incarnation: Incarnation, crash: Crash
     ) -> None:
-        self.digest ^= _checksum(fingerprint, incarnation, end)
-        if not end.void:
-            self._suspected[incarnation] += 1
+        self.digest ^= _checksum(fingerprint, incarnation, crash)
+        if not crash.void:
+            self._mark_counts[incarnation] += 1
 
-    def _take_out(
-        self, fingerprint: Fingerprint, incarnation: Incarnation, end: End
+    def _unindex(
+        self, fingerprint: Fingerprint, incarnation: Incarnation, crash: Crash
     ) -> None:
-        self.digest ^= _checksum(fingerprint, incarnation, end)
-        if not end.void:
-            _count_down(self._suspected, incarnation)
+        self.digest ^= _checksum(fingerprint, incarnation, crash)
+        if not crash.void:
+            _count_down(self._mark_counts, incarnation)
 
 
 def _checksum(
-    fingerprint: Fingerprint, incarnation: Incarnation, end: End
+    fingerprint: Fingerprint, incarnation: Incarnation, crash: Crash
 ) -> int:
-    row = (*fingerprint, *incarnation, end.void)
+    row = (*fingerprint, *incarnation, crash.void)
     return hashing.checksum(codec.pack(row)) >> 1
 
 
@@ -330,73 +345,75 @@
         del counter[key]
 
 
-def _apart(ends: dict[Incarnation, End]) -> list[End]:
+def _distinct_crashes(crashes: dict[Incarnation, Crash]) -> list[Crash]:
     """Return the crashes that count, only the first of each common cause.
 
     Targets that lose power together crash under harmless requests. A run that
     began after another one had crashed has another cause, unless it was retried
     on a target that was about to crash together with the first.
     """
-    found: list[End] = []
-    times = [end.at for end in ends.values() if _has_run(end)]
-    for end in sorted(ends.values(), key=lambda end: end.at):
-        if end.void:
+    found: list[Crash] = []
+    times = [crash.at for crash in crashes.values() if _has_run_time(crash)]
+    for crash in sorted(crashes.values(), key=lambda crash: crash.at):
+        if crash.void:
             continue
-        if not found or not _has_run(end):
-            found.append(end)
+        if not found or not _has_run_time(crash):
+            found.append(crash)
             continue
         last_at = found[-1].at
-        together = end.at - last_at <= const.TOGETHER_SECONDS
-        many = sum(0 <= at - last_at <= const.TOGETHER_SECONDS for at in times)
-        if together and many >= const.TOGETHER_LEAST:
+        is_close = crash.at - last_at <= const.COMMON_CAUSE_SECONDS
+        close_count = sum(
+            0 <= at - last_at <= const.COMMON_CAUSE_SECONDS for at in times
+        )
+        if is_close and close_count >= const.COMMON_CAUSE_MIN:
             continue
-        if end.at - end.ran_s + const.APART_SECONDS >= last_at:
-            found.append(end)
+        if crash.at - crash.ran_s + const.AGE_TOLERANCE_SECONDS >= last_at:
+            found.append(crash)
     return found
 
 
-def _has_run(end: End) -> bool:
-    return not end.void and end.ran_s >= 0
+def _has_run_time(crash: Crash) -> bool:
+    return not crash.void and crash.ran_s >= 0
 
 
-def _counted(ends: dict[Incarnation, End]) -> int:
-    return sum(not end.void for end in ends.values())
+def _count_valid(crashes: dict[Incarnation, Crash]) -> int:
+    return sum(not crash.void for crash in crashes.values())
 
 
-def _hold_s(ends: int) -> float:
+def _quarantine_s(crashes: int) -> float:
     """Return the duration of a quarantine after the last crash, seconds."""
-    doubled = const.HOLD_SECONDS * 2.0 ** (ends - const.ENDS_MAX)
-    return min(doubled, const.HOLD_MAX_SECONDS)
+    doubled = const.QUARANTINE_SECONDS * 2.0 ** (crashes - const.CRASHES_MAX)
+    return min(doubled, const.QUARANTINE_MAX_SECONDS)
 
 
-def _kept_s(ends: int) -> float:
+def _ttl_s(crashes: int) -> float:
     """Return how long a request is kept after its last crash, seconds.
 
     Twice its quarantine, so that the next one is longer if it crashes a target
     again.
     """
-    if ends < const.ENDS_MAX:
-        return const.FORGET_SECONDS
-    return 2 * _hold_s(ends)
+    if crashes < const.CRASHES_MAX:
+        return const.SINGLE_CRASH_TTL_SECONDS
+    return 2 * _quarantine_s(crashes)
 
 
-def _of(mark: messages.Mark) -> Fingerprint:
+def _fingerprint_of(mark: messages.Mark) -> Fingerprint:
     return Fingerprint(mark.outline, mark.content)
 
 
-def _key(mark: messages.Mark) -> tuple[bytes, str, int]:
+def _mark_key(mark: messages.Mark) -> tuple[bytes, str, int]:
     return mark.content, mark.target_id, mark.born
 
 
-def _mark(
-    fingerprint: Fingerprint, incarnation: Incarnation, end: End, now: float
+def _to_mark(
+    fingerprint: Fingerprint, incarnation: Incarnation, crash: Crash, now: float
 ) -> messages.Mark:
     return messages.Mark(
         outline=fingerprint.outline,
         content=fingerprint.content,
         target_id=incarnation.target_id,
         born=incarnation.born,
-        void=end.void,
-        age_s=round(now - end.at, 3),
-        ran_s=round(end.ran_s, 3),
+        void=crash.void,
+        age_s=round(now - crash.at, 3),
+        ran_s=round(crash.ran_s, 3),
     )
--- a/jasperweir/components/quarantine/spread.py
+++ b/jasperweir/components/quarantine/spread.py
@@ -27,16 +27,16 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Told:
+class LastExchange:
     """The last time that all marks were sent to a process.
 
     Attributes:
         pause_s: Time for which they are not sent again, seconds.
-        at: When they were sent, monotonic seconds.
+        sent_at: When they were sent, monotonic seconds.
     """
 
     pause_s: float
-    at: float
+    sent_at: float
 
 
 class Comparer:
@@ -44,23 +44,23 @@
 
     def __init__(self, *, ledger: ledger_lib.Ledger) -> None:
         self._ledger = ledger
-        self._told: dict[str, Told] = {}
+        self._exchanges: dict[str, LastExchange] = {}
 
     def receive(self, src: str, msg: messages.Compare, now: float) -> Sends:
         """Compare the digest of another process."""
         if msg.digest == self._ledger.digest:
-            self._told.pop(src, None)
+            self._exchanges.pop(src, None)
             return []
-        last = self._told.get(src)
+        last = self._exchanges.get(src)
         if last is None:
-            last = Told(pause_s=const.EXCHANGE_LEAST_SECONDS, at=now)
-            self._told[src] = last
-        elif now - last.at < last.pause_s:
+            last = LastExchange(pause_s=const.EXCHANGE_MIN_SECONDS, sent_at=now)
+            self._exchanges[src] = last
+        elif now - last.sent_at < last.pause_s:
             return []
         else:
-            last.at = now
+            last.sent_at = now
             longer = const.EXCHANGE_GROWTH * last.pause_s
-            last.pause_s = min(longer, const.EXCHANGE_MOST_SECONDS)
+            last.pause_s = min(longer, const.EXCHANGE_MAX_SECONDS)
         marks = messages.Marks(marks=self._ledger.marks(now), whole=True)
         return [core.Send(dst=src, msg=marks)]
 
@@ -71,7 +71,7 @@
     def __init__(self, *, ledger: ledger_lib.Ledger) -> None:
         self._ledger = ledger
         self._comparer = Comparer(ledger=ledger)
-        self._asked = 0
+        self._compare_count = 0
 
     def compare(self, others: list[str]) -> Sends:
         """Compare digests with the next process in turn.
@@ -81,8 +81,8 @@
         """
         if not others:
             return []
-        self._asked += 1
-        name = others[self._asked % len(others)]
+        self._compare_count += 1
+        name = others[self._compare_count % len(others)]
         msg = messages.Compare(digest=self._ledger.digest)
         return [core.Send(dst=name, msg=msg)]
 
@@ -95,7 +95,7 @@
                 self._ledger.merge(msg.marks, now)
                 if not msg.whole:
                     return []
-                return tell(self._ledger.lacking(msg.marks, now), [src])
+                return tell(self._ledger.missing_marks(msg.marks, now), [src])
         return []
 
 
@@ -130,11 +130,11 @@
         """
         match msg:
             case messages.Marks():
-                news = self._ledger.merge(msg.marks, now)
+                new = self._ledger.merge(msg.marks, now)
                 others = [*entries]
                 if src not in controls:
                     others += controls
-                return tell(news, [name for name in others if name != src])
+                return tell(new, [name for name in others if name != src])
             case messages.Compare():
                 return self._comparer.receive(src, msg, now)
         return []
--- a/jasperweir/components/quarantine/suspects.py
+++ b/jasperweir/components/quarantine/suspects.py
@@ -49,7 +49,7 @@
     def __init__(self) -> None:
         self._cases: dict[tuple[str, int], Case] = {}
         # Cases whose targets didn't answer the check, with their expiry.
-        self._unclear: list[tuple[float, Case]] = []
+        self._unconfirmed: list[tuple[float, Case]] = []
 
     def on_broken(
         self,
@@ -74,7 +74,7 @@
 
     def keep(self, case: Case, now: float) -> None:
         """Keep a case whose target didn't answer the check for a time."""
-        self._unclear.append((now + const.UNCLEAR_SECONDS, case))
+        self._unconfirmed.append((now + const.REPLACEMENT_SECONDS, case))
 
     def cleared(
         self, serving: Callable[[str], list[records.Target]], now: float
@@ -88,13 +88,13 @@
         """
         ended = []
         kept = []
-        for until, case in self._unclear:
+        for until, case in self._unconfirmed:
             targets = serving(case.target.service)
             if now < until and any(_replaces(t, case.target) for t in targets):
                 ended.append(case)
             elif now < until:
                 kept.append((until, case))
-        self._unclear = kept
+        self._unconfirmed = kept
         return ended
 
     def on_checked(self, target: records.Target) -> Case | None:
--- a/jasperweir/daemons/held_page.py
+++ b/jasperweir/daemons/held_page.py
@@ -37,7 +37,7 @@
     def handle(self, answering: http_server.Answering) -> None:
         """Answer an operator."""
         req = answering.request
-        held = self._ledger.held(self._now())
+        held = self._ledger.list_quarantined(self._now())
         if req.method == b"GET":
             rows = [
                 {
--- a/jasperweir/daemons/site_entry.py
+++ b/jasperweir/daemons/site_entry.py
@@ -220,7 +220,9 @@
         now = self._host.now()
         self._forwarder.ends.tick(now)
         ledger = self._forwarder.ends.ledger
-        self._host.metrics.gauge("requests_held", float(len(ledger.held(now))))
+        self._host.metrics.gauge(
+            "requests_held", float(len(ledger.list_quarantined(now)))
+        )
         self._send_all(self._spread.compare(self._follower.heard_controls(now)))
 
     def _send_all(self, sends: list[core.Send]) -> None:
--- a/script/guards_backpressure.py
+++ b/script/guards_backpressure.py
@@ -81,10 +81,10 @@
           "limit"),
     Guard("ends together are one piece of evidence",
           "jasperweir/components/quarantine/ledger.py",
-          "if together and many >= const.TOGETHER_LEAST:", "if False:",
+          "if is_close and close_count >= const.COMMON_CAUSE_MIN:", "if False:",
           "quarantine_ledger"),
     Guard("runs that began before are one piece of evidence",
           "jasperweir/components/quarantine/ledger.py",
-          "if end.at - end.ran_s + const.APART_SECONDS >= last_at:",
+          "if crash.at - crash.ran_s + const.AGE_TOLERANCE_SECONDS >= last_at:",
           "if True:", "quarantine_ledger"),
 )  # fmt: skip
