--- a/features/harness/matrix.py
+++ b/features/harness/matrix.py
@@ -387,22 +387,24 @@
 
 def quarantine_cell(tap: Tap) -> None:
     """A request that ends targets, a restart, and one fault."""
-    scene = quarantine.Scene(entries=4, controls=3, places=2)
+    scene = quarantine.Scene(entries=4, controls=3, data_centres=2)
     scene.tap = tap
-    scene.comes("e0", "bad")
+    scene.send_request("e0", "bad")
     run(scene, 1.0)
-    scene.comes("e1", "bad")
+    scene.send_request("e1", "bad")
     run(scene, 1.0)
     scene.kill("e2")
     run(scene, 2.0)
     heal(scene)
     run(scene, 2.0)
     for name in ("e3", "e2", "e1", "e0"):
-        scene.comes(name, "bad")
+        scene.send_request(name, "bad")
         run(scene, 1.0)
-    assert len(scene.ends["bad"]) <= 3, scene.ends
+    assert len(scene.crashes["bad"]) <= 3, scene.crashes
     run(scene, 2.0)
-    assert scene.holders("bad") == set(scene.entries), scene.holders("bad")
+    assert scene.quarantining_entries("bad") == set(scene.entries), (
+        scene.quarantining_entries("bad")
+    )
 
 
 CELLS = {
--- a/features/harness/quarantine.py
+++ b/features/harness/quarantine.py
@@ -1,4 +1,4 @@
-"""Entries and control VMs that learn under which requests targets end."""
+"""Simulation of entries and control VMs that quarantine requests."""
 
 import collections
 import random
@@ -10,9 +10,9 @@
 from jasperweir.helpers import codec
 from jasperweir.helpers import http_message
 
-STEP = 0.01
+STEP_SECONDS = 0.01
 DELAY_SECONDS = 0.004
-# After a disturbance an entry must know what the others know within this time.
+# An entry must have the marks of the others this long after a failure.
 STABLE_SECONDS = 3.0
 
 
@@ -28,49 +28,52 @@
 
 def content(name):
     """Return the fingerprint of a request whose body is a name."""
-    return of(request(body=str(name).encode()), "one")
+    return compute(request(body=str(name).encode()), "one")
 
 
 def target(number):
-    """Return one start of a target."""
+    """Return an incarnation of a target."""
     return ledger_lib.Incarnation(f"t{number}", 0)
 
 
-def of(req, customer):
+def compute(req, customer):
+    """Return the fingerprint of a request."""
     return fingerprint.of(fingerprint.subject(req, customer))
 
 
 class EntryNode:
-    """What an entry process keeps in memory."""
+    """The state of an entry process."""
 
     def __init__(self):
         self.ledger = ledger_lib.Ledger()
         self.spread = spread.EntrySpread(ledger=self.ledger)
-        # Ends that it has seen and will have checked at a time.
+        # Crashes with the time of their check, the request and the target.
         self.checks = collections.deque()
 
 
 class Scene:
-    """Processes on a virtual clock, and targets that end under requests.
+    """Processes on a virtual clock, and targets that crash under requests.
 
     Attributes:
-        sends: Requests that reached a target: when, at which entry, which.
-        ends: Times at which targets ended, by request.
-        bytes: Bytes that were sent between the processes.
+        sends: Requests sent to a target: time, entry and request.
+        crashes: Times at which targets crashed, by request.
+        bytes: Bytes sent between the processes.
     """
 
-    def __init__(self, *, entries=3, controls=3, places=1, cell=23, seed=0):
+    def __init__(
+        self, *, entries=3, controls=3, data_centres=1, cell=23, seed=0
+    ):
         self.now = 0.0
         self.rng = random.Random(seed)
-        self.places = {}
+        self.data_centres = {}
         self.entries = {}
         self.controls = {}
         self.cell = cell
         for number in range(controls):
-            self.places[f"c{number}"] = number % places
+            self.data_centres[f"c{number}"] = number % data_centres
             self.controls[f"c{number}"] = spread.ControlSpread()
         for number in range(entries):
-            self.places[f"e{number}"] = number % places
+            self.data_centres[f"e{number}"] = number % data_centres
             self.entries[f"e{number}"] = EntryNode()
         self.queue = collections.deque()
         self.frozen = set()
@@ -80,7 +83,7 @@
         self.bytes = 0
         self.frames = 0
         self.sends = []
-        self.ends = collections.defaultdict(list)
+        self.crashes = collections.defaultdict(list)
         self._targets = 0
         self._compare_at = {
             name: self.rng.uniform(0, const.COMPARE_SECONDS)
@@ -88,10 +91,10 @@
         }
         self.disturbed = collections.defaultdict(lambda: -100.0)
 
-    # Disturbances.
+    # Failures.
 
     def kill(self, name):
-        """Kill a process; it is back at once and knows nothing."""
+        """Kill a process, which restarts at once without its marks."""
         if name in self.entries:
             self.entries[name] = EntryNode()
         else:
@@ -134,7 +137,7 @@
             if frozenset((src, dst)) in self.cuts:
                 continue
             if dst in self.frozen:
-                self.queue.append((self.now + STEP, src, dst, msg))
+                self.queue.append((self.now + STEP_SECONDS, src, dst, msg))
                 continue
             self._receive(src, dst, msg)
 
@@ -146,7 +149,7 @@
         served = [
             name
             for name in self.entries
-            if self.places[name] == self.places[dst]
+            if self.data_centres[name] == self.data_centres[dst]
         ]
         others = [name for name in self.controls if name != dst]
         acts = self.controls[dst].receive(
@@ -154,7 +157,8 @@
         )
         self.post(dst, acts)
 
-    def heard(self, name):
+    def reachable_controls(self, name):
+        """Return the control VMs that an entry reaches."""
         return [
             control
             for control in self.controls
@@ -166,38 +170,40 @@
         near = [
             other
             for other in self.entries
-            if other != name and self.places[other] == self.places[name]
+            if other != name
+            and self.data_centres[other] == self.data_centres[name]
         ]
         return near[: self.cell]
 
-    def tell(self, name, marks):
-        names = [*self._peers(name), *self.heard(name)]
+    def send_marks(self, name, marks):
+        """Send marks of an entry to its peers and the control VMs."""
+        names = [*self._peers(name), *self.reachable_controls(name)]
         self.post(name, spread.tell(marks, names))
 
     # Requests.
 
-    def comes(self, name, what, *, ends=True):
-        """Let a request come to an entry; return whether it was sent on."""
+    def send_request(self, name, request_name, *, crashes=True):
+        """Send a request to an entry; return whether it was forwarded."""
         if name in self.frozen:
             return False
         node = self.entries[name]
-        if node.ledger.verdict(content(what), self.now).held_s:
+        if node.ledger.verdict(content(request_name), self.now).held_s:
             return False
-        self.sends.append((self.now, name, what))
-        if not ends:
-            marks = node.ledger.absolve(content(what), self.now)
-            self.tell(name, marks)
+        self.sends.append((self.now, name, request_name))
+        if not crashes:
+            marks = node.ledger.absolve(content(request_name), self.now)
+            self.send_marks(name, marks)
             return True
-        self.ends[what].append(self.now)
+        self.crashes[request_name].append(self.now)
         self._targets += 1
         target = ledger_lib.Incarnation(f"t{self._targets}", 0)
         at = self.now + const.CHECK_SECONDS
-        node.checks.append((at, what, target))
+        node.checks.append((at, request_name, target))
         return True
 
     def run(self, seconds):
-        for _ in range(round(seconds / STEP)):
-            self.now += STEP
+        for _ in range(round(seconds / STEP_SECONDS)):
+            self.now += STEP_SECONDS
             self._deliver()
             for name, node in self.entries.items():
                 if name not in self.frozen:
@@ -205,56 +211,58 @@
 
     def _run_entry(self, name, node):
         while node.checks and node.checks[0][0] <= self.now:
-            _, what, target = node.checks.popleft()
-            marks = node.ledger.add(content(what), target, self.now)
-            self.tell(name, marks)
+            _, request_name, target = node.checks.popleft()
+            marks = node.ledger.add(content(request_name), target, self.now)
+            self.send_marks(name, marks)
         if self.now >= self._compare_at[name]:
             self._compare_at[name] = self.now + const.COMPARE_SECONDS
             node.ledger.tick(self.now)
-            self.post(name, node.spread.compare(self.heard(name)))
+            self.post(name, node.spread.compare(self.reachable_controls(name)))
 
-    def holders(self, what):
-        """Return the entries that keep a request from targets."""
+    def quarantining_entries(self, request_name):
+        """Return the entries that quarantine a request."""
         return {
             name
             for name, node in self.entries.items()
-            if node.ledger.verdict(content(what), self.now).held_s
+            if node.ledger.verdict(content(request_name), self.now).held_s
         }
 
 
-def late_retries(scene, what):
-    """Count what calm entries sent long after the third end of a request."""
-    ends = scene.ends[what]
-    if len(ends) < 3:
+def count_late_sends(scene, request_name):
+    """Count sends of undisturbed entries long after the third crash."""
+    crashes = scene.crashes[request_name]
+    if len(crashes) < 3:
         return 0
     return sum(
-        at > ends[2] + STABLE_SECONDS
+        at > crashes[2] + STABLE_SECONDS
         and at - scene.disturbed[name] > STABLE_SECONDS
         and at - scene.disturbed["core"] > STABLE_SECONDS
         for at, name, sent in scene.sends
-        if sent == what
+        if sent == request_name
     )
 
 
-def schedule(seed, seconds=30.0):
-    """Play one drawn schedule of requests and disturbances."""
+def run_schedule(seed, seconds=30.0):
+    """Run one random schedule of requests and failures."""
     rng = random.Random(seed)
     scene = Scene(entries=rng.randint(2, 8), seed=seed)
     bad = [f"bad{number}" for number in range(rng.randint(1, 3))]
     names = [*scene.entries]
     while scene.now < seconds:
         scene.run(rng.uniform(0.02, 0.9))
-        for what in bad:
+        for request_name in bad:
             if rng.random() < 0.5:
-                scene.comes(rng.choice(names), what)
-        scene.comes(rng.choice(names), f"well{rng.random()}", ends=False)
-        _disturb(scene, rng, names)
+                scene.send_request(rng.choice(names), request_name)
+        scene.send_request(
+            rng.choice(names), f"harmless{rng.random()}", crashes=False
+        )
+        _inject_failure(scene, rng, names)
     return scene, bad
 
 
-def _disturb(scene, rng, names):
-    """Draw what happens next, and note whom that and the past disturb."""
-    _note_disturbed(scene, names)
+def _inject_failure(scene, rng, names):
+    """Inject a random failure and record the entries that it disturbs."""
+    _record_disturbed(scene, names)
     draw = rng.random()
     if draw < 0.03:
         name = rng.choice(names)
@@ -272,10 +280,10 @@
     elif draw < 0.35:
         scene.frozen.clear()
         scene.cuts.clear()
-    _note_disturbed(scene, names)
+    _record_disturbed(scene, names)
 
 
-def _note_disturbed(scene, names):
+def _record_disturbed(scene, names):
     cut = {name for pair in scene.cuts for name in pair}
     for name in names:
         if name in scene.frozen or name in cut or scene.loss:
--- a/features/steps/quarantine_forward_steps.py
+++ b/features/steps/quarantine_forward_steps.py
@@ -1,4 +1,4 @@
-"""Steps on forwarders that remember requests under which targets end."""
+"""Steps on forwarders that quarantine requests."""
 
 import asyncio
 from unittest import mock
@@ -14,14 +14,15 @@
 from jasperweir.components.quarantine import const
 from jasperweir.components.quarantine import fingerprint
 
-WHAT = "bad"
+REQUEST = "bad"
 
 
-def remember(forwarder, req, count=const.CRASHES_MAX):
-    what = quarantine.of(req, "")
+def record_crashes(forwarder, req, count=const.CRASHES_MAX):
+    """Record crashes of targets under a request."""
+    found = quarantine.compute(req, "")
     for number in range(count):
         forwarder.ends.ledger.add(
-            what, quarantine.target(number), forwarder.now()
+            found, quarantine.target(number), forwarder.now()
         )
 
 
@@ -34,105 +35,107 @@
     asyncio.run(coro)
 
 
-@given("a forwarder that remembers a request with a body of {size:d} bytes")
-def step_remembers(context, size):
+@given("a forwarder with a recorded request with a body of {size:d} bytes")
+def step_recorded(context, size):
     context.size = size
 
 
-@when("{count:d} requests with other paths or sizes come")
-def step_unlike(context, count):
+@when("{count:d} requests with other paths or sizes arrive")
+def step_different(context, count):
     context.count = count
 
 
 @then("no body was hashed")
 def step_no_hash(context):
-    async def play():
+    async def run_hop():
         hop_ = hop.Hop(route=hop.route())
         await hop_.prepare()
         hop_.announce("other", hop_.other)
         known = quarantine.request(body=b"a" * context.size, path=b"/p")
-        remember(hop_.forwarder, known)
+        record_crashes(hop_.forwarder, known)
         with mock.patch.object(
             fingerprint, "of", side_effect=fingerprint.of
         ) as hashed:
             for number in range(context.count):
                 size = context.size + number % 2
                 path = b"/q" if size == context.size else b"/p"
-                asked = hop.Answering()
-                asked.request = quarantine.request(body=b"a" * size, path=path)
-                hop_.forwarder.handle(asked)
-            context.unlike = hashed.call_count
-            asked = hop.Answering()
-            asked.request = quarantine.request(
+                answering = hop.Answering()
+                answering.request = quarantine.request(
+                    body=b"a" * size, path=path
+                )
+                hop_.forwarder.handle(answering)
+            context.hashed_different = hashed.call_count
+            answering = hop.Answering()
+            answering.request = quarantine.request(
                 body=b"b" * context.size, path=b"/p"
             )
             before = hop_.other.requests
-            await answer(hop_, asked)
-            context.like = hashed.call_count
+            await answer(hop_, answering)
+            context.hashed_similar = hashed.call_count
             context.sent = hop_.other.requests - before
         hop_.close()
 
-    run(play())
-    assert context.unlike == 0, context.unlike
+    run(run_hop())
+    assert context.hashed_different == 0, context.hashed_different
 
 
-@when("one with the same path and size and another body comes")
-def step_alike(context):
-    assert context.like > 0
+@when("a request with the same path and size and another body arrives")
+def step_similar(context):
+    assert context.hashed_similar > 0
 
 
-@then("one body was hashed, and it was sent")
+@then("its body was hashed, and it was sent")
 def step_one_hash(context):
     assert context.sent > 0
 
 
-@given("a forwarder that keeps a request from targets")
-def step_keeps(context):
+@given("a forwarder that has quarantined a request")
+def step_quarantined(context):
     context.waits = False
 
 
-@given("a forwarder with a request that waits for a place")
+@given("a forwarder with a request that waits for a slot")
 def step_waits(context):
     context.waits = True
 
 
-@when("it comes")
-def step_it_comes(context):
-    async def play():
+@when("it arrives")
+def step_arrives(context):
+    async def run_hop():
         hop_ = hop.Hop(route=hop.route())
         await hop_.prepare()
         hop_.announce("other", hop_.other)
-        remember(hop_.forwarder, hop_.answering.request)
+        record_crashes(hop_.forwarder, hop_.answering.request)
         await answer(hop_, hop_.answering)
         context.hop = hop_
         hop_.close()
 
-    run(play())
+    run(run_hop())
 
 
-@when("others tell that two targets ended under it")
-def step_told(context):
-    async def play():
+@when("others report two crashes under it")
+def step_reported(context):
+    async def run_hop():
         hop_ = hop.Hop(route=hop.route())
         await hop_.prepare()
         hop_.announce("other", hop_.other)
         hop_.fill("other")
-        # It has come back after a refusal, so that it waits.
+        # A retry after a refusal, which waits for a slot.
         with mock.patch.object(
             hop_.forwarder._patience, "used", return_value=1.0
         ):
             hop_.forwarder.handle(hop_.answering)
         assert not hop_.answering.done
-        remember(hop_.forwarder, hop_.answering.request)
+        record_crashes(hop_.forwarder, hop_.answering.request)
         hop_.forwarder.on_marks(hop_.forwarder.now())
         context.hop = hop_
         hop_.close()
 
-    run(play())
+    run(run_hop())
 
 
-@then("it is answered 503 with code 2009 and when to come back")
-def step_told_truth(context):
+@then("it is answered 503 with code 2009 and a Retry-After")
+def step_answered_2009(context):
     status, headers = context.hop.answering.replied
     found = dict(headers)
     assert status == 503, status
@@ -147,13 +150,13 @@
 
 @given("a target that {does} when it gets a request")
 def step_target(context, does):
-    async def play():
+    async def run_hop():
         hop_ = hop.Hop(route=hop.route(resumable=False))
         await hop_.prepare()
-        target_ = hop.Ending(listens=does == "breaks off and listens")
+        target_ = hop.Ending(listens=does == "closes the connection")
         await target_.start()
         hop_.announce("ending", target_)
-        if does == "leaves and ends":
+        if does == "drains and crashes":
             target_.on_request = lambda: hop_.directory.leave(
                 "ending", hop_.forwarder.now()
             )
@@ -163,14 +166,14 @@
         target_.close()
         hop_.close()
 
-    run(play())
+    run(run_hop())
 
 
-@given("a target that gives no sign after a request broke")
-def step_no_sign(context):
+@given("a target that doesn't answer the check after a connection broke")
+def step_no_answer(context):
     clock = core.ManualClock(start=1000.0)
 
-    async def play():
+    async def run_hop():
         hop_ = hop.Hop(route=hop.route(resumable=False), clock=clock)
         await hop_.prepare()
         target_ = hop.Ending(listens=True)
@@ -189,24 +192,24 @@
         return hop_
 
     context.clock = clock
-    context.hop = asyncio.run(play())
+    context.hop = asyncio.run(run_hop())
 
 
-@when("{what} {seconds:g} s later")
-def step_later(context, what, seconds):
+@when("{event} {seconds:g} s later")
+def step_later(context, event, seconds):
     forwarder = context.hop.forwarder
     context.clock.advance(seconds)
     now = context.clock.monotonic()
-    if what != "nothing has come":
-        service = "other" if "service" in what else "s"
+    if event != "nothing is announced":
+        service = "other" if "service" in event else "s"
         new = site_lib.target(target_id="new", address=context.address)
         context.hop.directory.merge(new._replace(service=service), now)
     forwarder.ends.tick(now)
     context.marks = forwarder.ends.ledger.marks(now)
 
 
-@then("{count:d} ends are remembered after the check")
-def step_ends(context, count):
+@then("{count:d} crashes are recorded after the check")
+def step_crashes(context, count):
     assert len(context.marks) == count, context.marks
 
 
--- a/features/steps/quarantine_ledger_steps.py
+++ b/features/steps/quarantine_ledger_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what processes remember of requests under which targets end."""
+"""Steps on the quarantine of requests that crash targets."""
 
 import contextlib
 import random
@@ -23,16 +23,20 @@
 from jasperweir.components.request import life as request_life
 from jasperweir.helpers import codec
 
-WHAT = "bad"
+REQUEST = "bad"
 
 
 @given(
-    "{entries:d} entries in {places:d} data centres "
+    "{entries:d} entries in {data_centres:d} data centres "
     "with {controls:d} control VMs"
 )
-def step_entries(context, entries, places, controls):
+def step_entries(context, entries, data_centres, controls):
     context.scene = quarantine.Scene(
-        entries=entries, controls=controls, places=places, cell=15, seed=1
+        entries=entries,
+        controls=controls,
+        data_centres=data_centres,
+        cell=15,
+        seed=1,
     )
     context.scene.run(0.5)
 
@@ -49,42 +53,42 @@
     scene.cuts.discard(frozenset(("e0", "c1")))
 
 
-@when("two targets end under a request at two entries")
-def step_two_ends(context):
+@when("two targets crash under a request at two entries")
+def step_two_crashes(context):
     scene = context.scene
     scene.bytes = 0
     for name in ("e0", "e1"):
-        assert scene.comes(name, WHAT)
-    scene.run(const.CHECK_SECONDS + quarantine.STEP)
+        assert scene.send_request(name, REQUEST)
+    scene.run(const.CHECK_SECONDS + quarantine.STEP_SECONDS)
 
 
-@when("two targets end under a request at the first entry")
-def step_two_ends_first(context):
+@when("two targets crash under a request at the first entry")
+def step_two_crashes_first(context):
     for _ in range(2):
-        assert context.scene.comes("e0", WHAT)
+        assert context.scene.send_request("e0", REQUEST)
 
 
-@when("a target ends under a request at two entries, and the second dies")
+@when("a target crashes under a request at two entries, and the second dies")
 def step_dies(context):
     scene = context.scene
-    assert scene.comes("e0", WHAT)
-    assert scene.comes("e1", WHAT)
+    assert scene.send_request("e0", REQUEST)
+    assert scene.send_request("e1", REQUEST)
     scene.run(const.CHECK_SECONDS / 2)
     scene.kill("e1")
 
 
-@when("a target ends under it at a third entry")
-def step_third(context):
-    assert context.scene.comes("e2", WHAT)
+@when("a target crashes under it at a third entry")
+def step_third_crash(context):
+    assert context.scene.send_request("e2", REQUEST)
 
 
-@when("an entry starts again")
+@when("an entry restarts")
 def step_restart(context):
     context.scene.run(0.5)
     context.scene.kill("e3")
 
 
-@when("all control VMs start again, and then an entry")
+@when("all control VMs restart, and then an entry")
 def step_controls(context):
     scene = context.scene
     scene.run(0.5)
@@ -94,87 +98,93 @@
     scene.kill("e3")
 
 
-@when("a request ends targets with {count:d} others beside it each time")
+@when("a request crashes targets with {count:d} others beside it each time")
 def step_beside(context, count):
     scene = context.scene
     context.others = []
-    for round_ in range(2):
-        name = f"e{round_}"
-        assert scene.comes(name, WHAT)
+    for round_number in range(2):
+        name = f"e{round_number}"
+        assert scene.send_request(name, REQUEST)
         _, _, target = scene.entries[name].checks[-1]
         for number in range(count):
-            other = f"well-{round_}-{number}"
+            other = f"harmless-{round_number}-{number}"
             context.others.append(other)
             at = scene.now + const.CHECK_SECONDS
             scene.entries[name].checks.append((at, other, target))
         scene.run(1.0)
 
 
-@then("none of the others is kept from targets")
+@then("none of the others is quarantined")
 def step_others(context):
     for other in context.others:
-        assert not context.scene.holders(other), other
+        assert not context.scene.quarantining_entries(other), other
 
 
-@when("{count:d} requests end targets at random entries for {seconds:g} s")
+@when("{count:d} requests crash targets at random entries for {seconds:g} s")
 def step_several(context, count, seconds):
     scene = context.scene
-    context.several = [f"bad{number}" for number in range(count)]
+    context.requests = [f"bad{number}" for number in range(count)]
     rng = random.Random(5)
     until = scene.now + seconds
     while scene.now < until:
-        scene.comes(rng.choice([*scene.entries]), rng.choice(context.several))
+        scene.send_request(
+            rng.choice([*scene.entries]), rng.choice(context.requests)
+        )
         scene.run(0.05)
 
 
-@then("each of them has ended no more than {count:d} targets")
+@then("each of them has crashed at most {count:d} targets")
 def step_each(context, count):
-    ended = [len(context.scene.ends[what]) for what in context.several]
-    assert all(0 < found <= count for found in ended), ended
+    counts = [len(context.scene.crashes[name]) for name in context.requests]
+    assert all(0 < found <= count for found in counts), counts
 
 
-@when("a third entry gets a whole answer to it that was under way")
-def step_whole(context):
+@when("a third entry receives a complete answer to it that was under way")
+def step_complete_answer(context):
     scene = context.scene
     scene.run(0.2)
     ledger = scene.entries["e2"].ledger
-    marks = ledger.absolve(quarantine.content(WHAT), scene.now)
-    scene.tell("e2", marks)
+    marks = ledger.absolve(quarantine.content(REQUEST), scene.now)
+    scene.send_marks("e2", marks)
 
 
-@when("an operator lifts it at one entry")
+@when("an operator lifts its quarantine at one entry")
 def step_lift(context):
     scene = context.scene
     scene.run(0.2)
     ledger = scene.entries["e2"].ledger
-    held = list(ledger.list_quarantined(scene.now))
-    scene.tell("e2", ledger.lift(held, scene.now))
+    quarantined = list(ledger.list_quarantined(scene.now))
+    scene.send_marks("e2", ledger.lift(quarantined, scene.now))
 
 
-@then("every entry keeps it from targets {seconds:g} s later")
-def step_all_hold(context, seconds):
+@then("every entry quarantines it within {seconds:g} s")
+def step_all_quarantine(context, seconds):
     context.scene.run(seconds)
-    missing = set(context.scene.entries) - context.scene.holders(WHAT)
+    missing = set(context.scene.entries) - context.scene.quarantining_entries(
+        REQUEST
+    )
     assert not missing, missing
 
 
-@then("every entry keeps it from targets {seconds:g} s after the second check")
-def step_all_hold_soon(context, seconds):
-    step_all_hold(context, seconds)
+@then("every entry quarantines it {seconds:g} s after the second check")
+def step_all_quarantine_after_check(context, seconds):
+    step_all_quarantine(context, seconds)
 
 
-@then("no entry keeps it from targets {seconds:g} s later")
-def step_none_holds(context, seconds):
+@then("no entry quarantines it after {seconds:g} s")
+def step_none_quarantines(context, seconds):
     context.scene.run(seconds)
-    assert not context.scene.holders(WHAT), context.scene.holders(WHAT)
+    assert not context.scene.quarantining_entries(REQUEST), (
+        context.scene.quarantining_entries(REQUEST)
+    )
 
 
-@then("that took less than {most:d} KB between all of them")
+@then("the processes exchange less than {most:d} KB in all")
 def step_bytes(context, most):
     assert 0 < context.scene.bytes < most * 1000, context.scene.bytes
 
 
-# One ledger.
+# Fingerprints.
 
 
 @then("a request that differs in its {part} is {same}")
@@ -188,40 +198,40 @@
         "header": {"headers": [(b"x-any", b"1")]},
         "customer": {},
     }[part]
-    first = quarantine.of(quarantine.request(), "one")
-    second = quarantine.of(quarantine.request(**other), customer)
+    first = quarantine.compute(quarantine.request(), "one")
+    second = quarantine.compute(quarantine.request(**other), customer)
     assert (first == second) == (same == "the same")
 
 
 @then(
-    "in {count:d} drawn schedules no request goes to targets more than "
-    "{most:d} times late"
+    "in {count:d} random schedules no request is sent more than {most:d} times "
+    "after its quarantine"
 )
 def step_schedules(context, count, most):
     for seed in range(count):
-        scene, bad = quarantine.schedule(seed)
-        for what in bad:
-            found = quarantine.late_retries(scene, what)
-            assert found <= most, (seed, what, found)
+        scene, bad = quarantine.run_schedule(seed)
+        for name in bad:
+            found = quarantine.count_late_sends(scene, name)
+            assert found <= most, (seed, name, found)
 
 
-# A forwarder with sockets.
+# An agent and the native interface.
 
 
-@given("an agent whose engine ends, comes back and ends again")
+@given("an agent whose engine crashes, restarts and crashes again")
 def step_agent(context):
     context.listening = True
     context.agent_ends = ends_lib.EngineEnds(listens=lambda: context.listening)
 
 
-@then("two runs that the first end broke are told number 1")
+@then("two runs broken by the first crash are reported with number 1")
 def step_first_end(context):
     context.listening = False
     numbers = [context.agent_ends.after_break() for _ in range(2)]
     assert numbers == [1, 1], numbers
 
 
-@then("a run that the second end broke is told number 2")
+@then("a run broken by the second crash is reported with number 2")
 def step_second_end(context):
     context.listening = True
     context.agent_ends.answered()
@@ -229,13 +239,17 @@
     assert context.agent_ends.after_break() == 2
 
 
-@then("a run whose answer was cut while the engine listens is told number 0")
+@then(
+    "a run whose answer was cut while the engine listens is reported with"
+    " number 0"
+)
 def step_listens(context):
     context.listening = True
     assert context.agent_ends.after_break() == 0
 
 
-def own_life():
+def native_life():
+    """Return the state of a request of the native interface."""
     return request_life.Life(
         rid="r", keyed=False, first=True, budget=retry.Budget()
     )
@@ -244,9 +258,9 @@
 DENIED = events.Denied(code=result_codes.Code.ENDS_TARGETS, retry_after=600.0)
 
 
-@given("a request of the own interface that an engine may have begun")
+@given("a request of the native interface that an engine may have begun")
 def step_begun(context):
-    context.life = own_life()
+    context.life = native_life()
     context.life.on(events.Admitted())
     context.life.on(events.Picked(name="t", inc=1, http="t:1"))
     broke = events.Broke(relayed=0, ended=True, engine_end=1)
@@ -254,23 +268,23 @@
     assert isinstance(action, actions.Pick), action
 
 
-@when("it is denied before its second send, since engines ended under it")
+@when("it is denied before its retry because engines crashed under it")
 def step_denied(context):
     context.action = context.life.on(DENIED)
 
 
-@then("its caller is told 3001")
-def step_unknown(context):
+@then("its caller receives code 3001")
+def step_code_3001(context):
     assert context.action.code == 3001, context.action
 
 
-@then("one that is denied before its first send is told 2009")
-def step_not_run(context):
-    action = own_life().on(DENIED)
+@then("one that is denied before its first attempt receives code 2009")
+def step_code_2009(context):
+    action = native_life().on(DENIED)
     assert (action.code, action.retry_after) == (2009, 600.0), action
 
 
-# What others write.
+# Arbitrary marks and frames.
 
 VALUES = st.recursive(
     st.none()
@@ -296,8 +310,8 @@
 )
 
 
-def drawn(count, strategy, check):
-    """Run a check on drawn values; the same ones every time."""
+def check_examples(count, strategy, check):
+    """Run a check on generated values, the same ones every time."""
 
     @hypothesis.settings(
         max_examples=count, deadline=None, derandomize=True, database=None
@@ -310,7 +324,7 @@
 
 
 @then(
-    "{count:d} drawn marks leave a ledger that forgets, agrees and is bounded"
+    "{count:d} random lists of marks leave ledgers that agree, are bounded and expire"
 )
 def step_any_marks(context, count):
     def check(marks):
@@ -324,10 +338,10 @@
         assert len(first) == 0, first.marks(later)
         assert first.digest == 0
 
-    drawn(count, st.lists(MARKS, max_size=30), check)
+    check_examples(count, st.lists(MARKS, max_size=30), check)
 
 
-@then("{count:d} drawn frames of every kind are read or refused as frames")
+@then("{count:d} random frames of every kind are decoded or rejected")
 def step_any_frames(context, count):
     def check(value):
         kind, body, version = value
@@ -349,4 +363,4 @@
 
     kinds = st.sampled_from([*codec.kinds(), "no.such"])
     versions = st.sampled_from([codec.FRAME_VERSION, 0, 2])
-    drawn(count, st.tuples(kinds, VALUES, versions), check)
+    check_examples(count, st.tuples(kinds, VALUES, versions), check)
--- a/features/steps/quarantine_marks_steps.py
+++ b/features/steps/quarantine_marks_steps.py
@@ -1,4 +1,4 @@
-"""Steps on marks that one process remembers."""
+"""Steps on the ledger of one process."""
 
 from behave import given
 from behave import then
@@ -7,46 +7,48 @@
 from features.harness import quarantine
 from jasperweir.components.quarantine import ledger as ledger_lib
 
-WHAT = "bad"
+REQUEST = "bad"
 
 
-@given("a ledger with {count:d} ends of a request {ago:g} s ago")
+@given("a ledger with {count:d} crashes under a request {ago:g} s ago")
 def step_ledger(context, count, ago):
     context.now = 1000.0
     context.ledger = ledger_lib.Ledger()
-    context.what = quarantine.content(WHAT)
+    context.fingerprint = quarantine.content(REQUEST)
     for number in range(count):
         context.ledger.add(
-            context.what, quarantine.target(number), context.now - ago
+            context.fingerprint, quarantine.target(number), context.now - ago
         )
 
 
-@when("one of the targets answers what it was sent {ago:g} s ago")
-def step_lives(context, ago):
+@when("one of the targets answers a request sent {ago:g} s ago")
+def step_alive(context, ago):
     context.ledger.lives(quarantine.target(0), context.now - ago, context.now)
 
 
-@when("a further target ends under it")
-def step_further(context):
-    context.ledger.add(context.what, quarantine.target(77), context.now)
+@when("a further target crashes under it")
+def step_further_crash(context):
+    context.ledger.add(context.fingerprint, quarantine.target(77), context.now)
 
 
-@when("{count:d} more targets end under it, with a whole answer after each")
-def step_absolved(context, count):
+@when(
+    "{count:d} more targets crash under it, each followed by a complete answer"
+)
+def step_cleared(context, count):
     for number in range(count):
         context.now += 1.0
         context.ledger.add(
-            context.what, quarantine.target(200 + number), context.now
+            context.fingerprint, quarantine.target(200 + number), context.now
         )
-        context.ledger.absolve(context.what, context.now)
+        context.ledger.absolve(context.fingerprint, context.now)
 
 
-@when("{count:d} further targets end under it")
-def step_more(context, count):
+@when("{count:d} further targets crash under it")
+def step_more_crashes(context, count):
     for number in range(count):
         context.now += 1.0
         context.ledger.add(
-            context.what, quarantine.target(300 + number), context.now
+            context.fingerprint, quarantine.target(300 + number), context.now
         )
 
 
@@ -56,38 +58,38 @@
     context.ledger.tick(context.now)
 
 
-@when("{count:d} other requests each have a target end under them")
-def step_many(context, count):
+@when("{count:d} other requests crash a target each")
+def step_other_requests(context, count):
     for number in range(count):
-        what = quarantine.content(f"other-{number}")
-        context.ledger.add(what, quarantine.target(number + 100), context.now)
+        other = quarantine.content(f"other-{number}")
+        context.ledger.add(other, quarantine.target(number + 100), context.now)
 
 
-@then("the request is kept from targets")
-def step_kept(context):
-    assert context.ledger.verdict(context.what, context.now).held_s > 0
+@then("the request is quarantined")
+def step_quarantined(context):
+    assert context.ledger.verdict(context.fingerprint, context.now).held_s > 0
 
 
-@then("the request is not kept from targets")
-def step_not_kept(context):
-    assert context.ledger.verdict(context.what, context.now).held_s == 0
+@then("the request is not quarantined")
+def step_not_quarantined(context):
+    assert context.ledger.verdict(context.fingerprint, context.now).held_s == 0
 
 
-@then("the request is held for {seconds:g} s")
-def step_held_for(context, seconds):
-    verdict = context.ledger.verdict(context.what, context.now)
+@then("the request is quarantined for {seconds:g} s")
+def step_quarantined_for(context, seconds):
+    verdict = context.ledger.verdict(context.fingerprint, context.now)
     assert verdict.held_s == seconds, verdict
 
 
-@then("nothing is remembered")
-def step_nothing(context):
+@then("the ledger is empty")
+def step_empty(context):
     assert len(context.ledger) == 0
     assert context.ledger.digest == 0
-    assert not context.ledger.has_outline(context.what.outline)
+    assert not context.ledger.has_outline(context.fingerprint.outline)
 
 
-@then("{count:d} requests are remembered")
-def step_remembered(context, count):
+@then("the ledger holds {count:d} requests")
+def step_size(context, count):
     assert len(context.ledger) == count, len(context.ledger)
 
 
@@ -95,33 +97,34 @@
 def step_runs(context, begun, count):
     context.now = 100.0
     context.ledger = ledger_lib.Ledger()
-    context.what = quarantine.content(WHAT)
+    context.fingerprint = quarantine.content(REQUEST)
     context.begun = begun
     context.count = count
 
 
-@when("these end within {spread:g} s of each other {ago:g} s ago")
-def step_runs_end(context, spread, ago):
+@when("these crash within {spread:g} s of each other {ago:g} s ago")
+def step_runs_crash(context, spread, ago):
     for number in range(context.count):
         after = spread * number / context.count
-        end_run(context, number, ended_ago_s=ago - after, begun=context.begun)
+        crash_run(context, number, ended_ago_s=ago - after, begun=context.begun)
 
 
-def end_run(context, number, *, ended_ago_s, begun):
+def crash_run(context, number, *, ended_ago_s, begun):
+    """Record a crash of a target under a run."""
     run = ledger_lib.Run(ended_s=ended_ago_s, took_s=begun - ended_ago_s)
     context.ledger.add(
-        context.what, quarantine.target(number), context.now, run
+        context.fingerprint, quarantine.target(number), context.now, run
     )
 
 
 @when(
-    "a further target ends under a run that began {begun:g} s ago,"
+    "a further target crashes under a run that began {begun:g} s ago,"
     " {ago:g} s ago"
 )
 def step_earlier_run(context, begun, ago):
-    end_run(context, 400, ended_ago_s=ago, begun=begun)
+    crash_run(context, 400, ended_ago_s=ago, begun=begun)
 
 
-@when("a further target ends under a run that began {begun:g} s ago")
+@when("a further target crashes under a run that began {begun:g} s ago")
 def step_further_run(context, begun):
-    end_run(context, 500, ended_ago_s=0.0, begun=begun)
+    crash_run(context, 500, ended_ago_s=0.0, begun=begun)
