--- a/features/steps/quarantine_ledger_steps.py
+++ b/features/steps/quarantine_ledger_steps.py
@@ -324,7 +324,8 @@
 
 
 @then(
-    "{count:d} random lists of marks leave ledgers that agree, are bounded and expire"
+    "{count:d} random lists of marks leave ledgers that agree, are bounded"
+    " and expire"
 )
 def step_any_marks(context, count):
     def check(marks):
--- a/jasperweir/components/balance/forecast.py
+++ b/jasperweir/components/balance/forecast.py
@@ -59,7 +59,7 @@
 
 
 def part(
-    places: float,
+    free_slots: float,
     own: messages.Queue,
     others: messages.Queue,
     rng: random.Random,
@@ -71,16 +71,16 @@
     waiting requests: first for timely requests, then for late ones.
 
     Args:
-        places: Free slots that these entries see, or their share of them.
+        free_slots: Free slots that these entries see, or their share of them.
         own: Requests that wait at this entry.
         others: Requests that wait at the other entries.
         rng: Random source.
         late_places: How many of the slots may go to late requests that leave
             room for others.
     """
-    places = max(places, 0.0)
-    for_timely = min(places, own.timely + others.timely)
-    for_late = places - for_timely
+    free_slots = max(free_slots, 0.0)
+    for_timely = min(free_slots, own.timely + others.timely)
+    for_late = free_slots - for_timely
     yielding = min(for_late, late_places)
     return Part(
         timely=_draw_share(for_timely, own.timely, others.timely, rng),
@@ -89,22 +89,20 @@
     )
 
 
-def _draw_share(
-    places: float, own: int, others: int, rng: random.Random
-) -> int:
+def _draw_share(slots: float, own: int, others: int, rng: random.Random) -> int:
     """Return this entry's share, rounded up or down at random.
 
     Args:
-        places: Slots to share.
+        slots: Slots to share.
         own: Requests that wait at this entry.
         others: Requests that wait at the other entries.
         rng: Random source.
     """
-    if places <= 0 or own < 1:
+    if slots <= 0 or own < 1:
         return 0
-    wanted = min(places * own / (own + others), own)
-    whole = int(wanted)
-    return whole + (rng.random() < wanted - whole)
+    share = min(slots * own / (own + others), own)
+    floor = int(share)
+    return floor + (rng.random() < share - floor)
 
 
 def _smooth(old: float, new: float) -> float:
--- a/jasperweir/components/balance/gate.py
+++ b/jasperweir/components/balance/gate.py
@@ -61,24 +61,24 @@
         return self._waiting.pop(number, None) is not None
 
     def admit(
-        self, places: int, now: float, *, yielding: int | None = None
+        self, free_slots: int, now: float, *, yielding: int | None = None
     ) -> list[int]:
         """Remove and return the requests to send now, in order.
 
         Args:
-            places: Free slots.
+            free_slots: Number of free slots.
             now: Monotonic seconds.
             yielding: Most slots that late requests may get; None for all.
         """
-        if places < 1:
+        if free_slots < 1:
             return []
         due = [w for w in self._waiting.values() if w.not_before <= now]
         due.sort(key=lambda w: (w.priority, w.is_late(now), w.since, w.number))
         if yielding is not None:
             are_late = [w for w in due if w.is_late(now)]
-            left_out = {w.number for w in are_late[max(yielding, 0) :]}
-            due = [w for w in due if w.number not in left_out]
-        chosen = [w.number for w in due[:places]]
+            excluded = {w.number for w in are_late[max(yielding, 0) :]}
+            due = [w for w in due if w.number not in excluded]
+        chosen = [w.number for w in due[:free_slots]]
         for number in chosen:
             del self._waiting[number]
         return chosen
--- a/jasperweir/components/quarantine/suspects.py
+++ b/jasperweir/components/quarantine/suspects.py
@@ -107,5 +107,5 @@
         return False
     if new.target_id != old.target_id:
         return True
-    told = incarnation.compare(new.born, old.born)
-    return told is incarnation.Start.LATER
+    order = incarnation.compare(new.born, old.born)
+    return order is incarnation.Start.LATER
