--- a/features/steps/crowd_steps.py
+++ b/features/steps/late_request_steps.py
@@ -1,4 +1,4 @@
-"""Steps of a crowd that returns to a group that begins anew."""
+"""Steps on late requests at a group that has restarted."""
 
 import asyncio
 import statistics
@@ -7,8 +7,8 @@
 from behave import then
 from behave import when
 
+from features.harness import group_simulation
 from features.harness import hop
-from features.harness import waves
 from jasperweir import core
 from jasperweir.components.balance import gate
 from jasperweir.components.balance import late
@@ -16,22 +16,26 @@
 
 SECONDS = 3.0
 NOW = 100.0
-# Target time of the harness's route.
+# Target time of the route in the harness.
 TARGET_SECONDS = 0.4
 
 
-@given("a group that begins anew, and {crowd:d} requests that are late already")
-def step_crowd(context, crowd):
-    context.crowd = crowd
+@given("a group that has restarted, and {count:d} late requests")
+def step_late_requests(context, count):
+    context.late_count = count
 
 
-@when("{rate:d} requests a second come meanwhile for 3 s, over {seeds:d} seeds")
-def step_come(context, rate, seeds):
+@when("{rate:d} new requests a second arrive for 3 s, over {seeds:d} seeds")
+def step_new_requests(context, rate, seeds):
     context.rate = rate
-    for name, leaves_room in (("room", True), ("crowded", False)):
+    for name, limit_late in (("limited", True), ("unlimited", False)):
         shares = [
-            waves.come_back(
-                rate, SECONDS, context.crowd, leaves_room=leaves_room, seed=seed
+            group_simulation.simulate_restart(
+                rate,
+                SECONDS,
+                context.late_count,
+                limit_late=limit_late,
+                seed=seed,
             )
             for seed in range(seeds)
         ]
@@ -40,23 +44,26 @@
         setattr(context, name, (in_time, served))
 
 
-@then("at least a quarter of them more are in time than without room for them")
-def step_more(context):
-    gain = context.room[0] - context.crowded[0]
-    assert gain >= 0.25, (context.room, context.crowded)
+@then(
+    "the share of new requests in time is at least 25 points higher than"
+    " without a limit for late ones"
+)
+def step_gain(context):
+    gain = context.limited[0] - context.unlimited[0]
+    assert gain >= 0.25, (context.limited, context.unlimited)
 
 
 @then(
-    "at least {share:g} of the crowd are served, at their second try at the"
-    " latest"
+    "at least {share:g} of the late requests are served, at the latest on a"
+    " retry"
 )
-def step_served(context, share):
-    assert context.room[1] >= share, context.room
+def step_late_served(context, share):
+    assert context.limited[1] >= share, context.limited
 
 
 def group_limit(group):
-    """Return the limit of a group of 12 targets with 6 slots, if any."""
-    if group == "that make no passes together":
+    """Return the stream limit of a group of 12 targets, None if it has none."""
+    if group == "that run no passes together":
         return None
     bounds = passes.PassBounds(pause_s=0.12, fixed_s=0.03, slots=6)
     limit = passes.PassLimit(bounds=bounds)
@@ -64,23 +71,23 @@
         limit.on_pause(0.05)
         limit.update(3.0, NOW)
     if group == "whose passes allow 4 streams a target":
-        # 25.2 ms a stream: 0.88 x 120 - 30 ms are left for four.
-        room_s = 0.88 * 0.12 - 0.03
-        limit.on_pause(0.03 + 5 * room_s / 4)
+        # 0.88 x 120 ms - 30 ms are available for four streams.
+        available_s = 0.88 * 0.12 - 0.03
+        limit.on_pause(0.03 + 5 * available_s / 4)
         limit.update(5.0, NOW)
     return limit
 
 
 @given("12 targets with 6 slots each, {group}")
 def step_group(context, group):
-    context.most = late.most_open(
+    context.most_open = late.most_open(
         slots=72, targets=12, limit=group_limit(group), now=NOW
     )
 
 
-@then("one that is late gets a place while fewer than {most:d} are open")
-def step_most(context, most):
-    assert context.most == most, context.most
+@then("a late request gets a slot while fewer than {most:d} are open")
+def step_most_open(context, most):
+    assert context.most_open == most, context.most_open
 
 
 @given("a queue with a request that is {state}")
@@ -103,27 +110,27 @@
     )
 
 
-@when("{places:d} places are free, of which none is for those who leave room")
-def step_places(context, places):
-    context.admitted = context.gate.admit(places, NOW, yielding=0)
+@when("{slots:d} slots are free, of which none is for late requests")
+def step_free_slots(context, slots):
+    context.admitted = context.gate.admit(slots, NOW, yielding=0)
 
 
-@then("the request that waits {goes}")
-def step_goes(context, goes):
-    expected = {"goes on waiting": [], "gets a place": [7]}
-    assert context.admitted == expected[goes], context.admitted
-    assert len(context.gate) == (goes == "goes on waiting")
+@then("the waiting request {outcome}")
+def step_waiting_outcome(context, outcome):
+    expected = {"still waits": [], "gets a slot": [7]}
+    assert context.admitted == expected[outcome], context.admitted
+    assert len(context.gate) == (outcome == "still waits")
 
 
-class Resuming(hop.Dialect):
-    """Let every second request go on after the third event."""
+class ResumingDialect(hop.Dialect):
+    """Makes every second request resume after the third event."""
 
     def __init__(self):
-        self.asked = 0
+        self.count = 0
 
     def parse_caller_headers(self, req):
-        self.asked += 1
-        resume_after = "" if self.asked % 2 else "3"
+        self.count += 1
+        resume_after = "" if self.count % 2 else "3"
         return (
             super()
             .parse_caller_headers(req)
@@ -131,12 +138,12 @@
         )
 
 
-async def both_wait():
-    """Return the answers to a first try and to one that resumes."""
+async def wait_for_one_slot():
+    """Return whether a late and a resuming request are answered."""
     clock = core.ManualClock(start=NOW)
     one = hop.Hop(route=hop.route(), clock=clock)
     await one.prepare()
-    one.forwarder.dialect = Resuming()
+    one.forwarder.dialect = ResumingDialect()
     one.announce("other", one.other)
     one.fill("other")
     answers = [hop.Answering(), hop.Answering()]
@@ -153,46 +160,44 @@
 
 
 @given(
-    "an entry whose targets are all busy, where a first try waits until it is"
-    " late"
+    "an entry whose targets are all busy, where a first attempt waits until it"
+    " is late"
 )
 def step_busy(context):
     context.served = None
 
 
-@when(
-    "a request waits there that resumes an answer, and one place becomes free"
-)
+@when("a request that resumes an answer waits too, and one slot becomes free")
 def step_resumes(context):
-    context.served = asyncio.run(both_wait())
+    context.served = asyncio.run(wait_for_one_slot())
 
 
-@then("the one that resumes gets it")
+@then("the request that resumes gets it")
 def step_resumed_first(context):
     assert context.served == [False, True], context.served
 
 
-class Returning(hop.Dialect):
-    """State less time with the second request, as one that has come back."""
+class RetryingDialect(hop.Dialect):
+    """States less time with the second request, as a retry does."""
 
     def __init__(self):
-        self.asked = 0
+        self.count = 0
 
     def parse_caller_headers(self, req):
-        self.asked += 1
-        patience_s = 5.0 if self.asked == 1 else 3.0
+        self.count += 1
+        patience_s = 5.0 if self.count == 1 else 3.0
         return super().parse_caller_headers(req)._replace(patience_s=patience_s)
 
 
-async def comes_late(age_s):
-    """Return how many requests a target with one free place has got."""
+async def send_late_request(age_s):
+    """Return the requests received by a target with one free slot."""
     clock = core.ManualClock(start=NOW)
     one = hop.Hop(route=hop.route(), clock=clock)
     await one.prepare()
-    one.forwarder.dialect = Returning()
+    one.forwarder.dialect = RetryingDialect()
     one.announce("slow", one.slow)
     clock.now += age_s
-    # The first stays open, and has one of the five places that are taken.
+    # The first request stays open and uses one of the five used slots.
     one.forwarder.handle(hop.Answering())
     await asyncio.sleep(hop.SETTLE_SECONDS)
     for _ in range(4):
@@ -203,21 +208,21 @@
     return one.slow.requests
 
 
-@given("an entry that has run for {age_s:g} s with one free place of six")
+@given("an entry that has run for {age_s:g} s with one free slot of six")
 def step_one_free(context, age_s):
     context.age_s = age_s
 
 
-@when("a request comes that was late before it came")
-def step_comes_late(context):
-    context.got = asyncio.run(comes_late(context.age_s))
+@when("a request arrives that is already late")
+def step_late_arrival(context):
+    context.received = asyncio.run(send_late_request(context.age_s))
 
 
 @then("it is not sent at once")
 def step_not_sent(context):
-    assert context.got == 1, context.got
+    assert context.received == 1, context.received
 
 
 @then("it is sent at once")
 def step_is_sent(context):
-    assert context.got == 2, context.got
+    assert context.received == 2, context.received
--- a/jasperweir/components/quarantine/spread.py
+++ b/jasperweir/components/quarantine/spread.py
@@ -1,9 +1,9 @@
-"""How marks reach every entry: told at once, and compared now and then.
+"""Replication of quarantine marks between processes; sans-I/O.
 
-An entry tells the entries that it talks to anyway, and the control VMs; these
-tell the entries that they look after, and each other. An entry that a message
-did not reach, or that has started again, finds the difference when it compares
-its digest with a control VM. Sans-I/O.
+An entry sends new marks to its peer entries and to the control VMs, which
+forward them to their entries and to each other. An entry that has missed a
+message or has restarted detects the difference when it compares its digest with
+a control VM, and receives all marks.
 """
 
 from collections.abc import Iterable
@@ -19,7 +19,7 @@
 
 
 def tell(marks: tuple[messages.Mark, ...], names: Iterable[str]) -> Sends:
-    """Return the sends that tell of marks."""
+    """Return the sends of marks to processes."""
     if not marks:
         return []
     msg = messages.Marks(marks=marks)
@@ -27,67 +27,67 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Told:
-    """All marks were told to another process.
+class LastExchange:
+    """The last time that all marks were sent to a process.
 
     Attributes:
-        pause_s: For how long they are not told again, seconds.
-        at: When they were told, monotonic seconds.
+        pause_s: Time for which they are not sent again, seconds.
+        sent_at: When they were sent, monotonic seconds.
     """
 
     pause_s: float
-    at: float
+    sent_at: float
 
 
 class Comparer:
-    """Answer those whose digest differs with all marks, not too often."""
+    """Answers digests that differ with all marks, at a limited rate."""
 
     def __init__(self, *, ledger: ledger_lib.Ledger) -> None:
         self._ledger = ledger
-        self._told: dict[str, Told] = {}
+        self._exchanges: dict[str, LastExchange] = {}
 
     def receive(self, src: str, msg: messages.Compare, now: float) -> Sends:
-        """Handle the question of another process."""
+        """Compare the digest of another process."""
         if msg.digest == self._ledger.digest:
-            self._told.pop(src, None)
+            self._exchanges.pop(src, None)
             return []
-        last = self._told.get(src)
+        last = self._exchanges.get(src)
         if last is None:
-            last = Told(pause_s=const.EXCHANGE_LEAST_SECONDS, at=now)
-            self._told[src] = last
-        elif now - last.at < last.pause_s:
+            last = LastExchange(pause_s=const.EXCHANGE_MIN_SECONDS, sent_at=now)
+            self._exchanges[src] = last
+        elif now - last.sent_at < last.pause_s:
             return []
         else:
-            last.at = now
+            last.sent_at = now
             longer = const.EXCHANGE_GROWTH * last.pause_s
-            last.pause_s = min(longer, const.EXCHANGE_MOST_SECONDS)
+            last.pause_s = min(longer, const.EXCHANGE_MAX_SECONDS)
         marks = messages.Marks(marks=self._ledger.marks(now), whole=True)
         return [core.Send(dst=src, msg=marks)]
 
 
 class EntrySpread:
-    """What an entry tells and is told."""
+    """Replication of marks at an entry."""
 
     def __init__(self, *, ledger: ledger_lib.Ledger) -> None:
         self._ledger = ledger
         self._comparer = Comparer(ledger=ledger)
-        self._asked = 0
+        self._compare_count = 0
 
     def compare(self, others: list[str]) -> Sends:
-        """Compare with the next of other processes, in turn.
+        """Compare digests with the next process in turn.
 
         Args:
-            others: Names of those that answer at present.
+            others: Names of the reachable control VMs.
         """
         if not others:
             return []
-        self._asked += 1
-        name = others[self._asked % len(others)]
+        self._compare_count += 1
+        name = others[self._compare_count % len(others)]
         msg = messages.Compare(digest=self._ledger.digest)
         return [core.Send(dst=name, msg=msg)]
 
     def receive(self, src: str, msg: Message, now: float) -> Sends:
-        """Take in marks; tell the sender of all its marks what it lacks."""
+        """Handle a message; answer a complete set with the missing marks."""
         match msg:
             case messages.Compare():
                 return self._comparer.receive(src, msg, now)
@@ -95,19 +95,19 @@
                 self._ledger.merge(msg.marks, now)
                 if not msg.whole:
                     return []
-                return tell(self._ledger.lacking(msg.marks, now), [src])
+                return tell(self._ledger.missing_marks(msg.marks, now), [src])
         return []
 
 
 class ControlSpread:
-    """What a control VM tells and is told."""
+    """Replication of marks at a control VM."""
 
     def __init__(self) -> None:
         self._ledger = ledger_lib.Ledger()
         self._comparer = Comparer(ledger=self._ledger)
 
     def tick(self, now: float) -> None:
-        """Forget what is old."""
+        """Drop expired requests."""
         self._ledger.tick(now)
 
     def receive(
@@ -122,19 +122,19 @@
         """Handle a message of an entry or another control VM.
 
         Args:
-            src: Its sender.
-            msg: Marks or Compare.
-            entries: Entries that this control VM looks after.
-            controls: The other control VMs.
+            src: Name of the sender.
+            msg: The message.
+            entries: Names of the entries that this control VM serves.
+            controls: Names of the other control VMs.
             now: Monotonic seconds.
         """
         match msg:
             case messages.Marks():
-                news = self._ledger.merge(msg.marks, now)
+                new = self._ledger.merge(msg.marks, now)
                 others = [*entries]
                 if src not in controls:
                     others += controls
-                return tell(news, [name for name in others if name != src])
+                return tell(new, [name for name in others if name != src])
             case messages.Compare():
                 return self._comparer.receive(src, msg, now)
         return []
--- a/jasperweir/daemons/quarantine_page.py
+++ b/jasperweir/daemons/quarantine_page.py
@@ -38,7 +38,7 @@
     def handle(self, answering: http_server.Answering) -> None:
         """Answer a request of an operator."""
         req = answering.request
-        quarantined = self._ledger.held(self._now())
+        quarantined = self._ledger.list_quarantined(self._now())
         if req.method == b"GET":
             rows = [
                 {
--- a/jasperweir/daemons/site_entry.py
+++ b/jasperweir/daemons/site_entry.py
@@ -220,7 +220,9 @@
         now = self._host.now()
         self._forwarder.crash_detector.tick(now)
         ledger = self._forwarder.crash_detector.ledger
-        self._host.metrics.gauge("requests_held", float(len(ledger.held(now))))
+        self._host.metrics.gauge(
+            "requests_held", float(len(ledger.list_quarantined(now)))
+        )
         self._send_all(
             self._spread.compare(self._discovery.reachable_controls(now))
         )
