--- a/features/steps/large_steps.py
+++ b/features/steps/large_steps.py
@@ -531,7 +531,7 @@
     def now(self):
         return asyncio.get_running_loop().time()
 
-    def after(self, seconds, func):
+    def call_later(self, seconds, func):
         def run():
             try:
                 func()
@@ -552,10 +552,10 @@
             if len(called) == 1:
                 raise ValueError
 
-        alarm = loop_host.Alarm(host=host, func=func)
+        alarm = loop_host.WakeupTimer(host=host, func=func)
         began = host.now()
-        alarm.set(began + 0.2)
-        alarm.set(began + 0.05)
+        alarm.schedule(began + 0.2)
+        alarm.schedule(began + 0.05)
         await asyncio.sleep(0.05 + loop_host.RETRY_SECONDS + 0.3)
         return host.errors, called
 
--- a/jasperweir/cli/daemons.py
+++ b/jasperweir/cli/daemons.py
@@ -54,7 +54,7 @@
 
 def _run(args: argparse.Namespace) -> int:
     values = settings.read(args.config, config.SCHEMAS[args.role])
-    common = config.common(values)
+    common = config.read_common(values)
     logs.setup(style=common.log_style, level=common.log_level)
     daemon = _DAEMONS[args.role](values=values, clock=core.SystemClock())
     daemon.start()
@@ -83,7 +83,7 @@
     found: dict[str, list[str]] = {}
     for role, schema in config.SCHEMAS.items():
         try:
-            config.common(settings.read(path, schema))
+            config.read_common(settings.read(path, schema))
             return []
         except exceptions.SettingsError as exc:
             found[role] = exc.problems
--- a/jasperweir/daemons/agent.py
+++ b/jasperweir/daemons/agent.py
@@ -40,7 +40,7 @@
     """Drive one agent with a link, HTTP and its target."""
 
     def __init__(self, *, values: settings.Values, clock: core.Clock) -> None:
-        cfg = config.common(values)
+        cfg = config.read_common(values)
         target = values["target"]
         self.host = base.Host(cfg=cfg, clock=clock)
         self._service = target["service"]
@@ -88,7 +88,7 @@
         self._draining = False
 
     def _member(
-        self, cfg: config.Common, target: dict[str, Any]
+        self, cfg: config.CommonSettings, target: dict[str, Any]
     ) -> member_messages.Member:
         offer = member_messages.Offer(
             service=target["service"],
@@ -175,7 +175,7 @@
         self.table.ready = self.agent.ready and self.side.up
         self._perform(self.agent.announcer.set_ready(self.table.ready))
         self.executor.tick()
-        self.host.export_link(now)
+        self.host.export_link_metrics(now)
         self.host.metrics.gauge("runs_active", self.table.active())
 
     def on_error(self, exc: Exception) -> None:
--- a/jasperweir/daemons/base.py
+++ b/jasperweir/daemons/base.py
@@ -45,7 +45,7 @@
     def __init__(
         self,
         *,
-        cfg: config.Common,
+        cfg: config.CommonSettings,
         clock: core.Clock,
         tick_seconds: float = TICK_SECONDS,
     ) -> None:
@@ -65,7 +65,7 @@
         )
         for peer in cfg.seeds:
             self.link.learn(peer.name, peer.addr)
-        self._metrics_at = 0.0
+        self._next_export_at = 0.0
 
     def now(self) -> float:
         """Return monotonic seconds."""
@@ -89,11 +89,11 @@
         self.metrics.inc("errors", kind=type(exc).__name__)
         self.log.error(f"unexpected {type(exc).__name__}: {exc}")
 
-    def export_link(self, now: float) -> None:
+    def export_link_metrics(self, now: float) -> None:
         """Copy the link's counters into the metrics, once a second."""
-        if now < self._metrics_at:
+        if now < self._next_export_at:
             return
-        self._metrics_at = now + LINK_METRICS_SECONDS
+        self._next_export_at = now + LINK_METRICS_SECONDS
         for name, value in self.link.counters.items():
             self.metrics.gauge("link_total", value, kind=name)
 
--- a/jasperweir/daemons/config.py
+++ b/jasperweir/daemons/config.py
@@ -109,7 +109,7 @@
 }
 
 
-class Common(NamedTuple):
+class CommonSettings(NamedTuple):
     """Settings that all daemons share."""
 
     name: str
@@ -125,14 +125,14 @@
     log_level: str
 
 
-def common(values: settings.Values) -> Common:
+def read_common(values: settings.Values) -> CommonSettings:
     """Return the shared settings of a checked file.
 
     Raises:
         SettingsError: The key file cannot be read.
     """
-    voters = _peers(values["control"]["voters"])
-    return Common(
+    voters = _parse_peers(values["control"]["voters"])
+    return CommonSettings(
         name=values["node"]["name"],
         place=values["node"]["place"],
         seed=values["node"]["seed"],
@@ -140,14 +140,14 @@
         http=values["listen"]["http"],
         threads=values["listen"]["threads"],
         voters=voters,
-        seeds=(*_peers(values["membership"]["seeds"]), *voters),
+        seeds=(*_parse_peers(values["membership"]["seeds"]), *voters),
         keys=_read_keys(values["keys"]["file"]),
         log_style=values["log"]["style"],
         log_level=values["log"]["level"],
     )
 
 
-def _peers(text: str) -> tuple[member_messages.Peer, ...]:
+def _parse_peers(text: str) -> tuple[member_messages.Peer, ...]:
     peers = []
     for part in text.split(","):
         name, at, address = part.strip().partition("@")
--- a/jasperweir/daemons/control.py
+++ b/jasperweir/daemons/control.py
@@ -34,7 +34,7 @@
     """Drive the controller with a disk, a link and HTTP."""
 
     def __init__(self, *, values: settings.Values, clock: core.Clock) -> None:
-        cfg = config.common(values)
+        cfg = config.read_common(values)
         self.host = base.Host(
             cfg=cfg, clock=clock, tick_seconds=control_const.TICK_SECONDS
         )
@@ -143,7 +143,7 @@
         """Let time pass."""
         now = self.host.now()
         self._perform(self.controller.tick(now, self.host.clock.wall()))
-        self.host.export_link(now)
+        self.host.export_link_metrics(now)
 
     def on_error(self, exc: Exception) -> None:
         """Stop at once on a disk error; count anything else."""
--- a/jasperweir/daemons/control_calls.py
+++ b/jasperweir/daemons/control_calls.py
@@ -19,9 +19,9 @@
 
     def __init__(self, *, dialect: calls_lib.ControlDialect) -> None:
         self._dialect = dialect
-        self._open: dict[int, http_server.Answering] = {}
+        self._pending: dict[int, http_server.Answering] = {}
 
-    def take(
+    def handle(
         self,
         answering: http_server.Answering,
         node: node_lib.ConfigNode | None,
@@ -47,11 +47,11 @@
         if node is None:
             self._refuse(answering, Code.NOT_CONFIRMED, ())
             return []
-        asked = _ask(node, call, now)
-        self._open[asked.number] = answering
+        asked = _start_request(node, call, now)
+        self._pending[asked.number] = answering
         return asked.acts
 
-    def answer(
+    def send_result(
         self,
         act: (
             node_lib.Replaced
@@ -71,14 +71,14 @@
                 reply = self._dialect.described(act.declared, raw)
                 self._reply(act.number, reply, act.declared.version)
             case discovery_server.Unconfirmed():
-                self._unconfirmed(act.number)
+                self._reply_unconfirmed(act.number)
 
-    def drop(self) -> None:
+    def reject_pending(self) -> None:
         """Tell all callers that nothing is confirmed."""
-        for number in list(self._open):
-            self._unconfirmed(number)
+        for number in list(self._pending):
+            self._reply_unconfirmed(number)
 
-    def _unconfirmed(self, number: int) -> None:
+    def _reply_unconfirmed(self, number: int) -> None:
         self._reply(number, self._dialect.refused(Code.NOT_CONFIRMED, ()), 0)
 
     def _refuse(
@@ -91,7 +91,7 @@
         answering.reply(reply.status, reply.headers, reply.body)
 
     def _reply(self, number: int, reply: calls_lib.Reply, version: int) -> None:
-        answering = self._open.pop(number, None)
+        answering = self._pending.pop(number, None)
         if answering is None:
             return
         _log.info(
@@ -104,7 +104,7 @@
         answering.reply(reply.status, reply.headers, reply.body)
 
 
-def _ask(
+def _start_request(
     node: node_lib.ConfigNode, call: calls_lib.Call, now: float
 ) -> discovery_server.StartedRequest:
     match call:
--- a/jasperweir/daemons/entry.py
+++ b/jasperweir/daemons/entry.py
@@ -31,7 +31,7 @@
     """Drive one entry with a link and HTTP."""
 
     def __init__(self, *, values: settings.Values, clock: core.Clock) -> None:
-        cfg = config.common(values)
+        cfg = config.read_common(values)
         limits = values["limits"]
         self.host = base.Host(cfg=cfg, clock=clock)
         self._drain_s = limits["drain_s"]
@@ -125,7 +125,7 @@
         """Let time pass."""
         now = self.host.now()
         self._perform(self.entry.tick(now))
-        self.host.export_link(now)
+        self.host.export_link_metrics(now)
         self._export(now)
 
     def on_error(self, exc: Exception) -> None:
--- a/jasperweir/daemons/loop_host.py
+++ b/jasperweir/daemons/loop_host.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from jasperweir import core
-from jasperweir.daemons import deployed
+from jasperweir.daemons import node_settings
 from jasperweir.helpers import clocks
 from jasperweir.helpers import http_server
 from jasperweir.helpers import link as link_lib
@@ -23,7 +23,7 @@
 # Log lines leave the process this often, seconds.
 LOG_FLUSH_SECONDS = 0.25
 # An alarm is never sooner than this, so that nothing spins, seconds.
-LEAST_PAUSE_SECONDS = 0.005
+MIN_DELAY_SECONDS = 0.005
 # A function that failed is called again after this long, seconds.
 RETRY_SECONDS = 0.25
 # Connections are checked for their age this often, seconds.
@@ -32,41 +32,41 @@
 # what a site's own messages cost.
 TRAFFIC_LOG_SECONDS = 30.0
 # Kinds of message, by bytes, that this line names.
-KINDS_LOGGED = 6
+MAX_LOGGED_KINDS = 6
 
 
-class Alarm:
+class WakeupTimer:
     """Call a function at the next time at which it has something to do."""
 
     def __init__(self, *, host: "LoopHost", func: Callable[[], None]) -> None:
         """Begin without a time; ``func`` sets the next one itself."""
         self._host = host
         self._func = func
-        self._at = math.inf
+        self._due_at = math.inf
         self._handle: asyncio.TimerHandle | None = None
 
-    def set(self, at: float) -> None:
+    def schedule(self, at: float) -> None:
         """Call at a time, or sooner if that was set before.
 
         Args:
             at: Monotonic seconds.
         """
-        if at >= self._at:
+        if at >= self._due_at:
             return
         if self._handle is not None:
             self._handle.cancel()
-        self._at = at
-        delay_s = max(at - self._host.now(), LEAST_PAUSE_SECONDS)
-        self._handle = self._host.after(delay_s, self._run)
+        self._due_at = at
+        delay_s = max(at - self._host.now(), MIN_DELAY_SECONDS)
+        self._handle = self._host.call_later(delay_s, self._run)
 
     def _run(self) -> None:
-        self._at = math.inf
+        self._due_at = math.inf
         self._handle = None
         try:
             self._func()
         except Exception:
             # It did not come to set its next time.
-            self.set(self._host.now() + RETRY_SECONDS)
+            self.schedule(self._host.now() + RETRY_SECONDS)
             raise
 
 
@@ -87,7 +87,7 @@
     def __init__(
         self,
         *,
-        cfg: deployed.NodeSettings,
+        cfg: node_settings.NodeSettings,
         on_frame: Callable[[str, Any], None],
         level: str = "info",
     ) -> None:
@@ -102,7 +102,7 @@
         self._on_frame = on_frame
         self._loop: asyncio.AbstractEventLoop | None = None
         self._servers: list[http_server.Server] = []
-        self._checks_ages = False
+        self._age_check_scheduled = False
         self._timers_run = 0
         self.link = loop_link.LoopLink(
             name=cfg.internal,
@@ -127,9 +127,9 @@
         self._loop.add_signal_handler(signal.SIGINT, on_stop)
         self._loop.add_signal_handler(signal.SIGHUP, on_reload)
         self.link.start()
-        self._logs.on_first = self._flush_later
+        self._logs.on_first = self._schedule_flush
         self._flush_logs()
-        self.every(TRAFFIC_LOG_SECONDS, self._log_traffic)
+        self.call_every(TRAFFIC_LOG_SECONDS, self._log_traffic)
         await self.serve(self.cfg.metrics, self._on_metrics)
         _log.info(
             "started",
@@ -144,21 +144,21 @@
     ) -> http_server.Server:
         """Listen on an address."""
         server = http_server.Server(address=address, handler=handler)
-        server.on_first = self._check_ages_later
+        server.on_first = self._schedule_age_check
         await server.start()
         self._servers.append(server)
         return server
 
-    def every(self, seconds: float, func: Callable[[], None]) -> None:
+    def call_every(self, seconds: float, func: Callable[[], None]) -> None:
         """Call a function again and again; its errors are logged."""
 
         def run() -> None:
-            self.after(seconds, run)
+            self.call_later(seconds, run)
             func()
 
-        self.after(seconds, run)
+        self.call_later(seconds, run)
 
-    def after(
+    def call_later(
         self, seconds: float, func: Callable[[], None]
     ) -> asyncio.TimerHandle:
         """Call a function once; an error of it is logged."""
@@ -174,9 +174,9 @@
 
         return self._loop.call_later(seconds, run)
 
-    def alarm(self, func: Callable[[], None]) -> "Alarm":
+    def make_timer(self, func: Callable[[], None]) -> "WakeupTimer":
         """Return a timer for a function that is due at changing times."""
-        return Alarm(host=self, func=func)
+        return WakeupTimer(host=self, func=func)
 
     def send(self, act: core.Send) -> None:
         """Send a message to a node, whose name is its address."""
@@ -206,7 +206,7 @@
         )
         return {
             f"{way} {kind}": seen.size
-            for (way, kind), seen in kinds[:KINDS_LOGGED]
+            for (way, kind), seen in kinds[:MAX_LOGGED_KINDS]
         }
 
     def _receive(self, received: link_lib.Received) -> None:
@@ -216,30 +216,30 @@
             _log.exception("error on a frame", kind=received.env.kind)
             self.metrics.inc("errors")
 
-    def _check_ages_later(self) -> None:
+    def _schedule_age_check(self) -> None:
         """Look at the age of connections as long as there are any."""
-        if self._checks_ages or self._loop is None:
+        if self._age_check_scheduled or self._loop is None:
             return
-        self._checks_ages = True
+        self._age_check_scheduled = True
         self._loop.call_later(AGE_CHECK_SECONDS, self._check_ages)
 
     def _check_ages(self) -> None:
-        self._checks_ages = False
+        self._age_check_scheduled = False
         for server in self._servers:
             server.check_ages()
         if any(server.connections for server in self._servers):
-            self._check_ages_later()
+            self._schedule_age_check()
 
-    def _flush_later(self) -> None:
+    def _schedule_flush(self) -> None:
         assert self._loop is not None
         if not self._loop.is_closed():
             self._loop.call_later(LOG_FLUSH_SECONDS, self._flush_logs)
 
     def _flush_logs(self) -> None:
         if not self._logs.flush():
-            self._flush_later()
+            self._schedule_flush()
 
-    def _note_traffic(self) -> None:
+    def _export_link_metrics(self) -> None:
         """Copy the link's counters into the metrics."""
         for kind, count in self.link.counters.items():
             self.metrics.gauge("link_frames", float(count), kind=kind)
@@ -253,12 +253,12 @@
         if page is not None:
             page(answering)
             return
-        self._note_traffic()
+        self._export_link_metrics()
         headers = [(b"content-type", b"text/plain; version=0.0.4")]
         answering.reply(200, headers, self.metrics.render())
 
 
-class ElapsedLoop(asyncio.SelectorEventLoop):
+class SuspendAwareEventLoop(asyncio.SelectorEventLoop):
     """Event loop whose timers count suspensions of the VM.
 
     The kernel's own waits do not: a timer that came due meanwhile runs when
@@ -272,5 +272,5 @@
 
 def run(main: Callable[[], Coroutine[Any, Any, Any]]) -> Any:
     """Run a process's coroutine on a loop that counts suspensions."""
-    with asyncio.Runner(loop_factory=ElapsedLoop) as runner:
+    with asyncio.Runner(loop_factory=SuspendAwareEventLoop) as runner:
         return runner.run(main())
--- a/jasperweir/daemons/site_agent.py
+++ b/jasperweir/daemons/site_agent.py
@@ -12,15 +12,15 @@
 from jasperweir.components.mapswitch import messages
 from jasperweir.components.mapswitch import order_executor
 from jasperweir.components.mapswitch import report_schedule
-from jasperweir.daemons import deployed
 from jasperweir.daemons import engine_client
 from jasperweir.daemons import loop_host
+from jasperweir.daemons import node_settings
 from jasperweir.helpers import logs
 
 _log = logs.logger("agent")
 
 # An agent beats this often; nobody is routed to it.
-BEAT_SECONDS = 1.0
+HEARTBEAT_SECONDS = 1.0
 
 
 class SiteAgent:
@@ -29,7 +29,7 @@
     def __init__(
         self,
         *,
-        cfg: deployed.NodeSettings,
+        cfg: node_settings.NodeSettings,
         dialect: engine_client.EngineDialect,
     ) -> None:
         self._cfg = cfg
@@ -48,7 +48,7 @@
             node=node,
             seeds=cfg.seeds,
             now=self._host.now(),
-            heartbeat_s=BEAT_SECONDS,
+            heartbeat_s=HEARTBEAT_SECONDS,
             wants_content=False,
         )
         self._engine = engine_client.EngineClient(
@@ -56,57 +56,63 @@
             dialect=dialect,
             timeout_s=const.ORDER_TIMEOUT_SECONDS,
         )
-        self._runner = order_executor.OrderExecutor()
-        self._pacer = report_schedule.ReportSchedule()
-        self._counter = expert_counts.CountDiffer()
-        self._reading = False
+        self._order_executor = order_executor.OrderExecutor()
+        self._report_schedule = report_schedule.ReportSchedule()
+        self._count_differ = expert_counts.CountDiffer()
+        self._is_reading = False
         self._leader = ""
         self._experts: tuple[tuple[int, ...], ...] = ()
-        self._experts_of = (-1, -1)
-        self._ended = asyncio.Event()
-        self._follow_alarm = self._host.alarm(self._follow)
-        self._read_alarm = self._host.alarm(self._read)
+        self._experts_version = (-1, -1)
+        self._stop_requested = asyncio.Event()
+        self._discovery_timer = self._host.make_timer(self._tick_discovery)
+        self._read_timer = self._host.make_timer(self._start_read)
 
     async def run(self) -> None:
         """Serve until told to stop."""
-        await self._host.start(on_stop=self._ended.set, on_reload=_no_reload)
-        self._follow()
-        await self._ended.wait()
+        await self._host.start(
+            on_stop=self._stop_requested.set, on_reload=_no_reload
+        )
+        self._tick_discovery()
+        await self._stop_requested.wait()
         self._host.stop()
 
     # Inputs.
 
-    def _follow(self) -> None:
+    def _tick_discovery(self) -> None:
         now = self._host.now()
         self._perform(self._discovery.tick(now))
-        self._follow_alarm.set(self._discovery.next_tick(now))
+        self._discovery_timer.schedule(self._discovery.next_tick(now))
 
     def _on_frame(self, src: str, msg: Any) -> None:
         match msg:
             case messages.OrderRequest():
                 leader = msg.leader or src
-                if msg.term >= self._runner.term:
+                if msg.term >= self._order_executor.term:
                     self._leader = leader
-                    self._read_alarm.set(self._pacer.next_read_at)
-                self._perform(self._runner.on_order(leader, msg))
+                    self._read_timer.schedule(
+                        self._report_schedule.next_read_at
+                    )
+                self._perform(self._order_executor.on_order(leader, msg))
             case messages.ReportRateRequest():
-                if msg.term >= self._runner.term:
+                if msg.term >= self._order_executor.term:
                     self._leader = src
-                    self._pacer.on_rate_request(src, msg)
-                    self._read_alarm.set(self._pacer.next_read_at)
-                self._runner.on_term(msg.term)
+                    self._report_schedule.on_rate_request(src, msg)
+                    self._read_timer.schedule(
+                        self._report_schedule.next_read_at
+                    )
+                self._order_executor.on_term(msg.term)
             case _:
                 now = self._host.now()
                 self._perform(self._discovery.receive(src, msg, now))
-                self._follow_alarm.set(self._discovery.next_tick(now))
+                self._discovery_timer.schedule(self._discovery.next_tick(now))
 
-    def _read(self) -> None:
-        if self._reading:
+    def _start_read(self) -> None:
+        if self._is_reading:
             return
-        if self._pacer.is_read_due(self._host.now()):
-            self._reading = True
-            self._engine.spawn(self._beat())
-        self._read_alarm.set(self._pacer.next_read_at)
+        if self._report_schedule.is_read_due(self._host.now()):
+            self._is_reading = True
+            self._engine.spawn(self._read_and_report())
+        self._read_timer.schedule(self._report_schedule.next_read_at)
 
     # Actions.
 
@@ -116,46 +122,46 @@
                 case core.Send():
                     self._host.send(act)
                 case order_executor.ReadState() | order_executor.PostOrder():
-                    self._engine.spawn(self._carry_out(act))
+                    self._engine.spawn(self._execute(act))
 
-    async def _carry_out(
+    async def _execute(
         self, act: order_executor.ReadState | order_executor.PostOrder
     ) -> None:
-        self._perform(await self._engine.carry_out(self._runner, act))
+        self._perform(await self._engine.carry_out(self._order_executor, act))
 
-    async def _beat(self) -> None:
+    async def _read_and_report(self) -> None:
         try:
-            await self._send_beat()
+            await self._send_heartbeat()
         finally:
-            self._reading = False
-            self._read_alarm.set(self._pacer.next_read_at)
+            self._is_reading = False
+            self._read_timer.schedule(self._report_schedule.next_read_at)
 
-    async def _send_beat(self) -> None:
-        term = self._runner.term
+    async def _send_heartbeat(self) -> None:
+        term = self._order_executor.term
         state = await self._engine.state()
         if state is None or not state.group:
             return
-        if not self._pacer.is_report_due(state, self._host.now()):
+        if not self._report_schedule.is_report_due(state, self._host.now()):
             return
-        if self._experts_of != (state.epoch, state.map_version):
+        if self._experts_version != (state.epoch, state.map_version):
             raw = await self._engine.get(self._dialect.PLACEMENT_TARGET)
             if raw is None:
                 return
             self._experts = self._dialect.placement(raw)
-            self._experts_of = (state.epoch, state.map_version)
+            self._experts_version = (state.epoch, state.map_version)
         beat = messages.EngineHeartbeat(
             service=self._cfg.service,
             address=self._cfg.engine,
             term=term,
             state=state,
-            choices=await self._choices(),
+            choices=await self._read_choices(),
             experts=self._experts,
         )
         self._host.send(core.Send(dst=self._leader, msg=beat))
 
-    async def _choices(self) -> expert_counts.ExpertCounts:
+    async def _read_choices(self) -> expert_counts.ExpertCounts:
         """Return what the engine's requests chose since the last beat."""
-        if not self._pacer.counted:
+        if not self._report_schedule.counted:
             return expert_counts.NO_CHOICES
         raw = await self._engine.get(self._dialect.COUNTS_TARGET)
         if raw is None:
@@ -165,11 +171,13 @@
         except ValueError as exc:
             _log.warning("counts cannot be read", reason=str(exc))
             return expert_counts.NO_CHOICES
-        before = self._counter.dropped
-        choices = self._counter.update(counts, self._host.now())
-        if self._counter.dropped > before:
+        before = self._count_differ.dropped
+        choices = self._count_differ.update(counts, self._host.now())
+        if self._count_differ.dropped > before:
             self._host.metrics.inc("counts_dropped")
-            _log.warning("counts make no sense", dropped=self._counter.dropped)
+            _log.warning(
+                "counts make no sense", dropped=self._count_differ.dropped
+            )
         return choices
 
 
@@ -178,7 +186,7 @@
 
 
 def run(
-    *, cfg: deployed.NodeSettings, dialect: engine_client.EngineDialect
+    *, cfg: node_settings.NodeSettings, dialect: engine_client.EngineDialect
 ) -> None:
     """Run an agent until it is stopped."""
 
--- a/jasperweir/daemons/site_control.py
+++ b/jasperweir/daemons/site_control.py
@@ -26,10 +26,10 @@
 from jasperweir.components.quorum import storage as storage_lib
 from jasperweir.components.quorum import voter as voter_lib
 from jasperweir.daemons import control_calls
-from jasperweir.daemons import deployed
 from jasperweir.daemons import engine_client
 from jasperweir.daemons import group_loader
 from jasperweir.daemons import loop_host
+from jasperweir.daemons import node_settings
 from jasperweir.helpers import http_server
 from jasperweir.helpers import logs
 
@@ -38,21 +38,21 @@
 # A disk that refused a write is tried again after this long, seconds.
 DISK_RETRY_SECONDS = 0.5
 # Soft state is written down this often if it has changed, seconds.
-NOTE_SECONDS = 0.5
+SAVE_SOFT_STATE_SECONDS = 0.5
 # Which agents and entries there are is looked at this often by a leader; they
 # beat no more often. Seconds.
-NODES_SECONDS = 0.1
+NODE_UPDATE_SECONDS = 0.1
 # Entries are told at once which targets are slow, as far as a look this often
 # shows it, seconds.
-LOOK_SLOW_SECONDS = 0.1
+SLOW_TARGET_CHECK_SECONDS = 0.1
 # A stopping control VM stays this long after it has handed over the lead, so
 # that calls under way get their answers, seconds.
-LINGER_SECONDS = 1.5
+STOP_DELAY_SECONDS = 1.5
 
 
 # The planner is loaded this long after the start, when entries have their
 # configuration and before an election ends, seconds.
-LOAD_GROUPS_SECONDS = 0.3
+LOAD_GROUPS_DELAY_SECONDS = 0.3
 
 
 class SiteControl:
@@ -61,63 +61,67 @@
     def __init__(
         self,
         *,
-        cfg: deployed.NodeSettings,
+        cfg: node_settings.NodeSettings,
         dialect: calls_lib.ControlDialect,
         engines: engine_client.EngineDialect,
     ) -> None:
         self._cfg = cfg
         self._dialect = dialect
         self._host = loop_host.LoopHost(cfg=cfg, on_frame=self._on_frame)
-        self._storage = _storage(cfg.data_folder)
+        self._storage = _make_storage(cfg.data_folder)
         self._calls = control_calls.ControlCalls(dialect=dialect)
         self._stopping = asyncio.Event()
-        self._broken_until = 0.0
+        self._storage_retry_at = 0.0
         self._node: node_lib.ConfigNode | None = None
-        self._groups = group_loader.GroupLoader()
+        self._group_loader = group_loader.GroupLoader()
         self._coordinator = coordinator_lib.Coordinator(
             place=cfg.place,
             name=cfg.internal,
-            make_group=self._groups.make,
-            term_at=self._term_at,
+            make_group=self._group_loader.make,
+            term_at=self._get_leader_term,
         )
-        self._spread = spread_lib.ControlSpread()
+        self._mark_replication = spread_lib.ControlSpread()
         self._engines: dict[str, model.Engine] = {}
         # Engines whose agents do not answer.
-        self._direct = engine_client.RemoteEngines(
+        self._remote_engines = engine_client.RemoteEngines(
             dialect=engines, send=self._on_direct_result
         )
         # When the groups are told again which agents and entries there are.
-        self._nodes_at = 0.0
+        self._next_node_update_at = 0.0
         # Whether a plan is to be gone on with before the next tick.
-        self._plan_due = False
-        self._slow_news = slow_target_notifier.SlowTargetNotifier()
+        self._plan_scheduled = False
+        self._slow_target_notifier = slow_target_notifier.SlowTargetNotifier()
         # Commit index and directory digest that are written down.
-        self._noted = (0, 0)
+        self._saved_state = (0, 0)
 
     async def run(self) -> None:
         """Serve until told to stop."""
         await self._host.start(on_stop=self._on_stop, on_reload=self._on_reload)
-        self._open()
-        await self._host.serve(self._cfg.control, self._handle)
+        self._start_node()
+        await self._host.serve(self._cfg.control, self._handle_call)
         if self._cfg.data_folder:
             # One without a disk never leads, and saves the memory.
-            self._host.after(LOAD_GROUPS_SECONDS, self._groups.load)
-        self._host.every(const.TICK_SECONDS, self._tick)
-        self._host.every(NOTE_SECONDS, self._note)
-        self._host.every(LOOK_SLOW_SECONDS, self._tell_slow)
+            self._host.call_later(
+                LOAD_GROUPS_DELAY_SECONDS, self._group_loader.load
+            )
+        self._host.call_every(const.TICK_SECONDS, self._tick)
+        self._host.call_every(SAVE_SOFT_STATE_SECONDS, self._save_soft_state)
+        self._host.call_every(
+            SLOW_TARGET_CHECK_SECONDS, self._send_slow_targets
+        )
         await self._stopping.wait()
-        await asyncio.sleep(LINGER_SECONDS)
+        await asyncio.sleep(STOP_DELAY_SECONDS)
         self._host.stop()
         self._storage.close()
 
     # Lifecycle.
 
-    def _open(self) -> None:
+    def _start_node(self) -> None:
         """Read the disk and begin anew from what it holds."""
         try:
             recovered = self._storage.open()
         except exceptions.StorageError as exc:
-            self._disk_failed(exc)
+            self._on_storage_error(exc)
             return
         now = self._host.now()
         voter = voter_lib.Voter(
@@ -150,14 +154,14 @@
             self._node.start_bootstrap(decides=decides, now=now)
             self._perform(self._node.tick(now))
 
-    def _disk_failed(self, exc: exceptions.StorageError) -> None:
+    def _on_storage_error(self, exc: exceptions.StorageError) -> None:
         """Forget what is not on disk, and try again a little later."""
         _log.error("disk refuses", reason=str(exc))
         self._host.metrics.inc("disk_failures")
         self._node = None
         self._storage.close()
-        self._broken_until = self._host.now() + DISK_RETRY_SECONDS
-        self._calls.drop()
+        self._storage_retry_at = self._host.now() + DISK_RETRY_SECONDS
+        self._calls.reject_pending()
 
     def _on_stop(self) -> None:
         _log.info("stop asked for")
@@ -171,21 +175,21 @@
     def _tick(self) -> None:
         now = self._host.now()
         if self._node is None:
-            if now >= self._broken_until:
-                self._open()
+            if now >= self._storage_retry_at:
+                self._start_node()
             return
         self._perform(self._node.tick(now))
         if self._node is not None:
-            self._coordinate(self._node, now)
+            self._tick_coordinator(self._node, now)
 
-    def _note(self) -> None:
+    def _save_soft_state(self) -> None:
         """Write down soft state, for a quicker restart."""
-        self._spread.tick(self._host.now())
+        self._mark_replication.tick(self._host.now())
         node = self._node
         if node is None:
             return
         noted = (node.voter.commit, node.discovery.directory.digest)
-        if noted == self._noted:
+        if noted == self._saved_state:
             return
         try:
             self._storage.save_commit_hint(node.voter.commit)
@@ -196,46 +200,48 @@
             # Only a restart would take longer without it.
             _log.warning("soft state not written", reason=str(exc))
             return
-        self._noted = noted
+        self._saved_state = noted
 
-    def _coordinate(self, node: node_lib.ConfigNode, now: float) -> None:
+    def _tick_coordinator(self, node: node_lib.ConfigNode, now: float) -> None:
         """Drive the switch of expert maps while this VM surely leads."""
-        if self._term_at(now) and now >= self._nodes_at:
-            self._nodes_at = now + NODES_SECONDS
+        if self._get_leader_term(now) and now >= self._next_node_update_at:
+            self._next_node_update_at = now + NODE_UPDATE_SECONDS
             for agent in node.discovery.nodes.live_nodes(
                 directory_const.KIND_AGENT, now
             ):
                 self._coordinator.on_agent(agent.name, agent.place, now)
-            self._coordinator.set_entries(self._hold_givers(node, now))
+            self._coordinator.set_entries(self._list_hold_senders(node, now))
             fresh_s = mapswitch_const.RELAY_FRESH_SECONDS
             relays = node.discovery.log_holders_by_place(now, fresh_s)
             self._coordinator.set_relays(relays)
         self._perform(self._coordinator.tick(now))
-        self._plan_soon()
+        self._schedule_plan()
 
-    def _term_at(self, now: float) -> int:
+    def _get_leader_term(self, now: float) -> int:
         """Return the term in which this VM surely leads, 0 if it doesn't."""
-        if self._node is None or not self._groups.loaded:
+        if self._node is None or not self._group_loader.loaded:
             return 0
         leads = self._node.voter.read_index(now) is not None
         return self._node.voter.term if leads else 0
 
-    def _plan_soon(self) -> None:
+    def _schedule_plan(self) -> None:
         """Go on with a plan before the next tick."""
-        if not self._coordinator.is_planning or self._plan_due:
+        if not self._coordinator.is_planning or self._plan_scheduled:
             return
-        self._plan_due = True
+        self._plan_scheduled = True
         loop = asyncio.get_running_loop()
-        loop.call_later(mapswitch_const.PLAN_PAUSE_SECONDS, self._plan)
+        loop.call_later(mapswitch_const.PLAN_PAUSE_SECONDS, self._continue_plan)
 
-    def _plan(self) -> None:
-        self._plan_due = False
+    def _continue_plan(self) -> None:
+        self._plan_scheduled = False
         if self._node is None:
             return
         self._perform(self._coordinator.tick(self._host.now()))
-        self._plan_soon()
+        self._schedule_plan()
 
-    def _hold_givers(self, node: node_lib.ConfigNode, now: float) -> list[str]:
+    def _list_hold_senders(
+        self, node: node_lib.ConfigNode, now: float
+    ) -> list[str]:
         """Return the entries that may give holds.
 
         None that is stopping, and none on a VM of control, where there are
@@ -268,7 +274,7 @@
             case quarantine_messages.Marks() | quarantine_messages.Compare():
                 discovery = self._node.discovery
                 acts = list(
-                    self._spread.receive(
+                    self._mark_replication.receive(
                         src,
                         msg,
                         entries=discovery.entries_to_refresh(now),
@@ -279,7 +285,7 @@
             case _:
                 acts = self._node.receive(src, msg, now)
         self._perform(acts)
-        self._plan_soon()
+        self._schedule_plan()
 
     # Actions.
 
@@ -289,7 +295,7 @@
             for act in acts:
                 self._perform_one(act)
         except exceptions.StorageError as exc:
-            self._disk_failed(exc)
+            self._on_storage_error(exc)
 
     def _perform_one(self, act: Any) -> None:
         match act:
@@ -309,10 +315,10 @@
                     leader=act.leader,
                 )
             case node_lib.NewVersion():
-                self._on_version(act.version)
+                self._apply_configuration(act.version)
             case mapswitch_actions.SendDirectly():
                 self._host.metrics.inc("orders_given_directly")
-                self._direct.give(act.agent, act.request)
+                self._remote_engines.give(act.agent, act.request)
             case mapswitch_actions.PhaseChanged():
                 _log.info("expert map", **act._asdict())
             case mapswitch_actions.DemandJumped():
@@ -324,16 +330,16 @@
                 )
                 _log.info("expert map planned", **act._asdict())
             case mapswitch_actions.SwitchCompleted():
-                self._note_switch(act)
+                self._record_switch(act)
             case (
                 node_lib.Replaced()
                 | node_lib.Described()
                 | discovery_server.Acknowledged()
                 | discovery_server.Unconfirmed()
             ):
-                self._calls.answer(act)
+                self._calls.send_result(act)
 
-    def _note_switch(self, act: mapswitch_actions.SwitchCompleted) -> None:
+    def _record_switch(self, act: mapswitch_actions.SwitchCompleted) -> None:
         """Record how long the parts of a switch took."""
         metrics = self._host.metrics
         metrics.observe("map_copying_seconds", act.copying_s)
@@ -348,21 +354,21 @@
             self._coordinator.receive(act.dst, act.msg, self._engines, now)
         )
 
-    def _tell_slow(self) -> None:
+    def _send_slow_targets(self) -> None:
         """Tell the entries which targets are slow, while any is."""
         node = self._node
         if node is None or not self._coordinator.is_leader:
             return
         slow = self._coordinator.slow_targets()
         now = self._host.now()
-        if not self._slow_news.is_due(slow, now):
+        if not self._slow_target_notifier.is_due(slow, now):
             return
         for entry in node.discovery.nodes.live_nodes(
             directory_const.KIND_ENTRY, now
         ):
             self._host.send(core.Send(dst=entry.name, msg=slow))
 
-    def _on_version(self, version: int) -> None:
+    def _apply_configuration(self, version: int) -> None:
         _log.info("version in force", version=version)
         assert self._node is not None
         declared = self._node.machine.declared()
@@ -374,12 +380,12 @@
             if service.engine is not None
         }
 
-    def _handle(self, answering: http_server.Answering) -> None:
-        acts = self._calls.take(answering, self._node, self._host.now())
+    def _handle_call(self, answering: http_server.Answering) -> None:
+        acts = self._calls.handle(answering, self._node, self._host.now())
         self._perform(acts)
 
 
-def _storage(
+def _make_storage(
     folder: str,
 ) -> storage_lib.DiskStorage | null_storage.NullStorage:
     if not folder:
@@ -391,7 +397,7 @@
 
 def run(
     *,
-    cfg: deployed.NodeSettings,
+    cfg: node_settings.NodeSettings,
     dialect: calls_lib.ControlDialect,
     engines: engine_client.EngineDialect,
 ) -> None:
--- a/jasperweir/daemons/site_entry.py
+++ b/jasperweir/daemons/site_entry.py
@@ -24,10 +24,10 @@
 from jasperweir.components.quarantine import const as quarantine_const
 from jasperweir.components.quarantine import messages as quarantine_messages
 from jasperweir.components.quarantine import spread as spread_lib
-from jasperweir.daemons import deployed
 from jasperweir.daemons import engine_client
 from jasperweir.daemons import held_page
 from jasperweir.daemons import loop_host
+from jasperweir.daemons import node_settings
 from jasperweir.helpers import http_client
 from jasperweir.helpers import http_message
 from jasperweir.helpers import http_server
@@ -38,9 +38,9 @@
 TICK_SECONDS = 0.02
 # While it stops, what is still open is looked at this often, seconds.
 STOP_TICK_SECONDS = 0.1
-TIDY_SECONDS = 0.5
+CLEANUP_SECONDS = 0.5
 # Callers keep an address answer for this long, and some three times as long.
-ANSWER_KEPT_SECONDS = 0.5
+ADDRESS_TTL_SECONDS = 0.5
 # An entry that stops serves those who still come for longer than any caller
 # keeps an answer that names it, seconds.
 STOP_SERVING_SECONDS = 4.5
@@ -61,7 +61,7 @@
     def lookup(self, req: http_message.Request) -> Lookup | None:
         """Read a question for addresses; None if it is something else."""
 
-    def addresses(self, found: list[str], kept_s: float) -> bytes:
+    def addresses(self, addresses: list[str], ttl_s: float) -> bytes:
         """Return the body of an address answer."""
 
     def deployment(self, raw: bytes) -> model.Deployment:
@@ -74,7 +74,7 @@
     def __init__(
         self,
         *,
-        cfg: deployed.NodeSettings,
+        cfg: node_settings.NodeSettings,
         dialect: EntryDialect,
         engines: engine_client.EngineDialect,
     ) -> None:
@@ -113,24 +113,24 @@
             times=http_client.ClientTimes(),
             metrics=self._host.metrics,
         )
-        self._share_due = False
-        self._forwarder.balancer.on_change = self._on_load_change
+        self._share_scheduled = False
+        self._forwarder.balancer.on_change = self._schedule_share
         self._forwarder.is_certain = self._is_certain
-        self._forwarder.notes.on_replaced = self._on_replaced
-        self._forwarder.notes.on_leaving = self._on_leaving
-        self._forwarder.on_work = self._tick_soon
-        self._forwarder.ends.on_marks = self._on_marks
+        self._forwarder.notes.on_replaced = self._on_target_replaced
+        self._forwarder.notes.on_leaving = self._on_target_draining
+        self._forwarder.on_work = self._schedule_tick
+        self._forwarder.ends.on_marks = self._broadcast_marks
         ledger = self._forwarder.ends.ledger
-        self._spread = spread_lib.EntrySpread(ledger=ledger)
+        self._mark_replication = spread_lib.EntrySpread(ledger=ledger)
         page = held_page.HeldPage(
-            ledger=ledger, now=self._host.now, on_lifted=self._on_marks
+            ledger=ledger, now=self._host.now, on_lifted=self._broadcast_marks
         )
         self._host.pages[held_page.PATH] = page.handle
-        self._tick_due = False
-        self._follow_alarm = self._host.alarm(self._follow)
+        self._tick_scheduled = False
+        self._discovery_timer = self._host.make_timer(self._tick_discovery)
         self._server: http_server.Server | None = None
-        self._stopping_at = 0.0
-        self._ended = asyncio.Event()
+        self._stop_requested_at = 0.0
+        self._stopped = asyncio.Event()
 
     async def run(self) -> None:
         """Serve until told to stop."""
@@ -140,40 +140,42 @@
         )
         await self._host.serve(self._cfg.ready, self._on_ready_check)
         await self._host.serve(self._cfg.lookup, self._on_lookup)
-        self._follow()
-        self._host.every(balance_const.SHARE_SECONDS, self._share_all)
-        self._host.every(quarantine_const.COMPARE_SECONDS, self._compare_marks)
-        self._host.every(TIDY_SECONDS, self._forwarder.tidy)
-        await self._ended.wait()
+        self._tick_discovery()
+        self._host.call_every(balance_const.SHARE_SECONDS, self._update_entries)
+        self._host.call_every(
+            quarantine_const.COMPARE_SECONDS, self._compare_marks
+        )
+        self._host.call_every(CLEANUP_SECONDS, self._forwarder.tidy)
+        await self._stopped.wait()
         await asyncio.sleep(0.05)
         self._host.stop()
 
-    def _tick_soon(self) -> None:
+    def _schedule_tick(self) -> None:
         """Tick as long as there is something to do.
 
         An entry of a large site carries two or three streams: ticking all the
         time would be most of its wake-ups.
         """
-        if self._tick_due:
+        if self._tick_scheduled:
             return
-        self._tick_due = True
-        self._host.after(TICK_SECONDS, self._tick)
+        self._tick_scheduled = True
+        self._host.call_later(TICK_SECONDS, self._tick)
 
     def _tick(self) -> None:
-        self._tick_due = False
+        self._tick_scheduled = False
         self._forwarder.tick()
         if self._forwarder.has_work:
-            self._tick_soon()
+            self._schedule_tick()
 
     # Following control.
 
-    def _follow(self) -> None:
+    def _tick_discovery(self) -> None:
         now = self._host.now()
         self._perform(self._discovery.tick(now))
-        self._follow_alarm.set(self._discovery.next_tick(now))
-        if self._stopping_at:
-            self._follow_alarm.set(now + STOP_TICK_SECONDS)
-            self._drive_stop(now)
+        self._discovery_timer.schedule(self._discovery.next_tick(now))
+        if self._stop_requested_at:
+            self._discovery_timer.schedule(now + STOP_TICK_SECONDS)
+            self._advance_stop(now)
             return
         if not self._discovery.node.open:
             # What targets must be kept from is known before callers come.
@@ -182,7 +184,7 @@
         is_open = is_open and self._discovery.is_ready(now)
         if is_open and not self._discovery.node.open:
             _log.info("ready", version=self._discovery.version)
-            self._share_all()
+            self._update_entries()
         self._perform(self._discovery.set_open(is_open=is_open, now=now))
 
     def _on_frame(self, src: str, msg: Any) -> None:
@@ -195,7 +197,7 @@
                 self._engines.give(src, msg)
                 return
             case quarantine_messages.Marks() | quarantine_messages.Compare():
-                self._send_all(self._spread.receive(src, msg, now))
+                self._send_all(self._mark_replication.receive(src, msg, now))
                 self._forwarder.on_marks(now)
                 return
             case mapswitch_messages.SlowTargets():
@@ -203,12 +205,12 @@
                 self._forwarder.on_paces(paces, now)
                 return
         self._perform(self._discovery.receive(src, msg, now))
-        if not self._discovery.node.open and not self._stopping_at:
+        if not self._discovery.node.open and not self._stop_requested_at:
             # What has come may be what it waited for.
-            self._follow()
-        self._follow_alarm.set(self._discovery.next_tick(now))
+            self._tick_discovery()
+        self._discovery_timer.schedule(self._discovery.next_tick(now))
 
-    def _on_marks(self, marks: end_watch.Marks) -> None:
+    def _broadcast_marks(self, marks: end_watch.Marks) -> None:
         """Tell the other processes under which requests targets ended."""
         now = self._host.now()
         names = [node.name for node in self._forwarder.neighbours.peers]
@@ -222,7 +224,9 @@
         ledger = self._forwarder.ends.ledger
         self._host.metrics.gauge("requests_held", float(len(ledger.held(now))))
         self._send_all(
-            self._spread.compare(self._discovery.reachable_controls(now))
+            self._mark_replication.compare(
+                self._discovery.reachable_controls(now)
+            )
         )
 
     def _send_all(self, sends: list[core.Send]) -> None:
@@ -235,9 +239,11 @@
                 case core.Send():
                     self._host.send(act)
                 case discovery_client.ApplyConfiguration():
-                    self._put_in_force(act)
+                    self._apply_configuration(act)
 
-    def _put_in_force(self, act: discovery_client.ApplyConfiguration) -> None:
+    def _apply_configuration(
+        self, act: discovery_client.ApplyConfiguration
+    ) -> None:
         deployment = self._dialect.deployment(zlib.decompress(act.data))
         index = index_lib.Index(deployment=deployment)
         self._forwarder.index = index
@@ -250,32 +256,32 @@
     def _is_certain(self) -> bool:
         return self._discovery.is_version_confirmed(self._host.now())
 
-    def _on_replaced(self, target: records.Target) -> None:
+    def _on_target_replaced(self, target: records.Target) -> None:
         _log.info("target replaced", target=target.target_id)
         now = self._host.now()
         self._perform(self._discovery.announce_target_gone(target, now))
 
-    def _on_leaving(self, target: records.Target) -> None:
+    def _on_target_draining(self, target: records.Target) -> None:
         """Tell the other entries of a target that says it leaves."""
         self._perform(
             self._discovery.announce_target_leaving(target, self._host.now())
         )
 
-    def _on_load_change(self) -> None:
-        if self._share_due:
+    def _schedule_share(self) -> None:
+        if self._share_scheduled:
             return
-        self._share_due = True
+        self._share_scheduled = True
         loop = asyncio.get_running_loop()
-        loop.call_later(balance_const.SHARE_DELAY_SECONDS, self._share)
+        loop.call_later(balance_const.SHARE_DELAY_SECONDS, self._send_share)
 
-    def _share_all(self) -> None:
+    def _update_entries(self) -> None:
         """Look who the other entries are, and tell them in any case."""
         entries = self._discovery.open_entries(self._host.now())
         self._forwarder.on_entries(entries)
-        self._share()
+        self._send_share()
 
-    def _share(self) -> None:
-        self._share_due = False
+    def _send_share(self) -> None:
+        self._share_scheduled = False
         share = self._forwarder.share()
         for node in self._forwarder.neighbours.peers:
             self._host.send(core.Send(dst=node.name, msg=share))
@@ -283,22 +289,24 @@
     # Planned stop.
 
     def _on_stop(self) -> None:
-        if self._stopping_at:
+        if self._stop_requested_at:
             return
-        self._stopping_at = self._host.now()
+        self._stop_requested_at = self._host.now()
         _log.info("stop asked for", open=self._forwarder.open_count)
         if self._server is not None:
             self._server.stopping = True
         self._perform(
-            self._discovery.set_open(is_open=False, now=self._stopping_at)
+            self._discovery.set_open(is_open=False, now=self._stop_requested_at)
+        )
+        self._discovery_timer.schedule(
+            self._stop_requested_at + STOP_TICK_SECONDS
         )
-        self._follow_alarm.set(self._stopping_at + STOP_TICK_SECONDS)
 
     def _on_reload(self) -> None:
         _log.info("reload asked for: seeds are read at the start only")
 
-    def _drive_stop(self, now: float) -> None:
-        since = now - self._stopping_at
+    def _advance_stop(self, now: float) -> None:
+        since = now - self._stop_requested_at
         if since < STOP_SERVING_SECONDS:
             return
         self._forwarder.stop()
@@ -308,12 +316,12 @@
         if self._server is not None:
             self._server.close_listener()
             self._server.close_idle()
-        self._ended.set()
+        self._stopped.set()
 
     # Questions of the platform and of callers.
 
     def _on_ready_check(self, answering: http_server.Answering) -> None:
-        ready = self._discovery.node.open and not self._stopping_at
+        ready = self._discovery.node.open and not self._stop_requested_at
         answering.reply(200 if ready else 503, [], b"")
 
     def _on_lookup(self, answering: http_server.Answering) -> None:
@@ -328,14 +336,14 @@
             answering.reply(503, [(b"retry-after", b"1")], b"")
             return
         self._host.metrics.inc("lookups", outcome="answered")
-        body = self._dialect.addresses(found, ANSWER_KEPT_SECONDS)
+        body = self._dialect.addresses(found, ADDRESS_TTL_SECONDS)
         headers = [(b"content-type", b"application/json")]
         answering.reply(200, headers, body)
 
 
 def run(
     *,
-    cfg: deployed.NodeSettings,
+    cfg: node_settings.NodeSettings,
     dialect: EntryDialect,
     engines: engine_client.EngineDialect,
 ) -> None:
--- a/script/guards.py
+++ b/script/guards.py
@@ -300,7 +300,7 @@
           "                self.forget(src)",
           "if False:\n                self.forget(src)", "large"),
     Guard("an alarm outlives an error", "jasperweir/daemons/loop_host.py",
-          "self.set(self._host.now() + RETRY_SECONDS)", "pass", "large"),
+          "self.schedule(self._host.now() + RETRY_SECONDS)", "pass", "large"),
     Guard("an earlier start changes nothing", C + "directory/directory.py",
           "                # A late word of a start that is over.\n"
           "                return False", "                pass",
