--- a/features/large.feature
+++ b/features/large.feature
@@ -88,8 +88,8 @@
     Then all arrive in order
     And the idle loop is not woken for half a second
 
-  Scenario: An alarm keeps the earliest time and survives an error
-    When an alarm is set for 0.2 s, then for 0.05 s, and its function fails once
+  Scenario: A timer keeps the earliest time and survives an error
+    When a timer is set for 0.2 s, then for 0.05 s, and its function fails once
     Then the function has been called again after the error
 
   Scenario: Entries are notified of slow targets at once and then periodically
--- a/features/steps/large_steps.py
+++ b/features/steps/large_steps.py
@@ -523,7 +523,7 @@
 
 
 class FakeHost:
-    """Host of an alarm on the running event loop."""
+    """Host of a timer on the running event loop."""
 
     def __init__(self):
         self.errors = 0
@@ -541,8 +541,8 @@
         return asyncio.get_running_loop().call_later(seconds, run)
 
 
-@when("an alarm is set for 0.2 s, then for 0.05 s, and its function fails once")
-def step_alarm_fails(context):
+@when("a timer is set for 0.2 s, then for 0.05 s, and its function fails once")
+def step_timer_fails(context):
     async def run():
         host = FakeHost()
         called = []
@@ -552,10 +552,10 @@
             if len(called) == 1:
                 raise ValueError
 
-        alarm = loop_host.WakeupTimer(host=host, func=func)
+        timer = loop_host.WakeupTimer(host=host, func=func)
         began = host.now()
-        alarm.schedule(began + 0.2)
-        alarm.schedule(began + 0.05)
+        timer.schedule(began + 0.2)
+        timer.schedule(began + 0.05)
         await asyncio.sleep(0.05 + loop_host.RETRY_SECONDS + 0.3)
         return host.errors, called
 
--- a/jasperweir/daemons/base.py
+++ b/jasperweir/daemons/base.py
@@ -1,4 +1,4 @@
-"""What all daemons share: link, actor, clock, metrics, signals."""
+"""Parts shared by all daemons: link, actor, clock, metrics, signals."""
 
 from collections.abc import Callable
 import random
@@ -22,24 +22,28 @@
 
 
 class Stoppable(Protocol):
-    """A daemon that can be asked to stop gracefully."""
+    """Daemon that supports a graceful stop."""
 
     def drain(self) -> None:
-        """Begin a planned stop; a second call changes nothing."""
+        """Start a graceful stop; further calls have no effect."""
 
     def wait(self) -> int:
-        """Wait until stopped and return the exit code."""
+        """Block until the daemon has stopped and return its exit code."""
 
 
 class Host:
-    """Sockets, actor and metrics around one node's decisions.
+    """Sockets, actor and metrics of one node.
 
     Attributes:
-        cfg: Shared settings.
-        link: Frames to and from other processes.
-        runner: Actor on which all decisions run.
-        metrics: Counters served at /metrics.
-        incarnation: Number that a restart raises.
+        cfg: Settings common to all daemons.
+        clock: Time source.
+        log: Logger of the node.
+        metrics: Counters and gauges served at /metrics.
+        incarnation: Start time in Unix milliseconds, higher after each
+            restart.
+        rng: Random source, seeded from the settings if they name a seed.
+        runner: Actor that processes all messages and ticks.
+        link: Connections to other processes.
     """
 
     def __init__(
@@ -74,7 +78,12 @@
     def send_all(
         self, acts: list[Any], roster: roster_lib.Roster | None = None
     ) -> None:
-        """Perform the sends among some actions."""
+        """Send the messages among some actions.
+
+        Args:
+            acts: Actions; those other than Send are ignored.
+            roster: Source of the recipients' addresses, if any.
+        """
         for act in acts:
             if not isinstance(act, core.Send):
                 continue
@@ -85,12 +94,12 @@
             self.link.send(act.dst, act.msg)
 
     def count_error(self, exc: Exception) -> None:
-        """Count and log an error that nothing else handles."""
+        """Count and log an unhandled exception."""
         self.metrics.inc("errors", kind=type(exc).__name__)
         self.log.error(f"unexpected {type(exc).__name__}: {exc}")
 
     def export_link_metrics(self, now: float) -> None:
-        """Copy the link's counters into the metrics, once a second."""
+        """Copy the link's counters into the metrics, at most once a second."""
         if now < self._next_export_at:
             return
         self._next_export_at = now + LINK_METRICS_SECONDS
@@ -107,20 +116,24 @@
 
 
 def run(daemon: Stoppable, ready: Callable[[], None]) -> int:
-    """Run a daemon until a signal asks it to stop.
+    """Run a daemon until SIGTERM or SIGINT and return its exit code.
+
+    The first signal starts a graceful stop. Later ones are ignored, so that
+    they do not cut off open requests.
 
-    The first SIGTERM or SIGINT begins a planned stop; later ones change
-    nothing, so a stop during a stop cuts nothing off.
+    Args:
+        daemon: The daemon.
+        ready: Called once the signal handlers are installed.
     """
-    asked = threading.Event()
+    stop_requested = threading.Event()
 
-    def ask(signum: int, frame: object) -> None:
-        asked.set()
+    def request_stop(signum: int, frame: object) -> None:
+        stop_requested.set()
 
-    signal.signal(signal.SIGTERM, ask)
-    signal.signal(signal.SIGINT, ask)
+    signal.signal(signal.SIGTERM, request_stop)
+    signal.signal(signal.SIGINT, request_stop)
     ready()
-    while not asked.wait(0.2):
+    while not stop_requested.wait(0.2):
         continue
     daemon.drain()
     return daemon.wait()
--- a/jasperweir/daemons/config.py
+++ b/jasperweir/daemons/config.py
@@ -1,4 +1,4 @@
-"""Settings of the daemons."""
+"""Schemas of the daemons' settings files and their common settings."""
 
 import pathlib
 from typing import NamedTuple
@@ -67,7 +67,7 @@
 CONTROL_SCHEMA: settings.Schema = {
     **_COMMON,
     "data": settings.Section(fields={"folder": settings.text()}),
-    # Operator name to the SHA-256 of its token, in hexadecimal.
+    # Maps an operator's name to the hexadecimal SHA-256 of its token.
     "operators": settings.Section(
         required=False,
         fields={},
@@ -110,7 +110,21 @@
 
 
 class CommonSettings(NamedTuple):
-    """Settings that all daemons share."""
+    """Settings common to all daemons.
+
+    Attributes:
+        name: Name of the node.
+        place: Data centre of the node.
+        seed: Seed of the random source, 0 for the start time.
+        internal: ``ip:port`` for other Jasperweir processes.
+        http: ``ip:port`` of the HTTP server.
+        threads: Number of threads of the HTTP server.
+        voters: Control nodes that vote.
+        seeds: Nodes to connect to first, including the voters.
+        keys: Key pair of the link, None without encryption.
+        log_style: ``text`` or ``json``.
+        log_level: Lowest level that is logged.
+    """
 
     name: str
     place: str
@@ -126,7 +140,7 @@
 
 
 def read_common(values: settings.Values) -> CommonSettings:
-    """Return the shared settings of a checked file.
+    """Return the common settings of a validated file.
 
     Raises:
         SettingsError: The key file cannot be read.
@@ -149,22 +163,22 @@
 
 def _parse_peers(text: str) -> tuple[member_messages.Peer, ...]:
     peers = []
-    for part in text.split(","):
-        name, at, address = part.strip().partition("@")
-        if at:
+    for item in text.split(","):
+        name, separator, address = item.strip().partition("@")
+        if separator:
             peers.append(member_messages.Peer(name=name, addr=address))
     return tuple(peers)
 
 
-def _read_keys(name: str) -> link.Keys | None:
-    if not name:
+def _read_keys(path: str) -> link.Keys | None:
+    if not path:
         return None
     try:
-        lines = pathlib.Path(name).read_text(encoding="ascii").split()
+        lines = pathlib.Path(path).read_text(encoding="ascii").split()
         public, secret = lines
     except (OSError, ValueError) as exc:
         problem = (
-            f"[keys] file: found '{name}'; allowed: a file that "
+            f"[keys] file: found '{path}'; allowed: a file that "
             f"'jasperweir keys new' wrote ({exc})"
         )
         raise exceptions.SettingsError(problems=[problem]) from exc
--- a/jasperweir/daemons/control_calls.py
+++ b/jasperweir/daemons/control_calls.py
@@ -1,4 +1,4 @@
-"""Calls of operators and targets that wait for an answer of a control VM."""
+"""HTTP calls of operators and targets that await a control VM's result."""
 
 import zlib
 
@@ -15,7 +15,7 @@
 
 
 class ControlCalls:
-    """Take calls to a ConfigNode, and its answers back to the callers."""
+    """Passes calls to a ConfigNode and its results back to the callers."""
 
     def __init__(self, *, dialect: calls_lib.ControlDialect) -> None:
         self._dialect = dialect
@@ -27,11 +27,12 @@
         node: node_lib.ConfigNode | None,
         now: float,
     ) -> node_lib.Actions:
-        """Take in a call; return what the node wants done.
+        """Validate a call, start it and return the node's actions.
 
         Args:
-            answering: The call and the way back to its caller.
-            node: Who is asked, None while the disk cannot be used.
+            answering: The HTTP exchange of the call.
+            node: Node that processes the call, None while its storage is
+                unavailable.
             now: Monotonic seconds.
         """
         call = calls_lib.validate_call(self._dialect.call(answering.request))
@@ -47,9 +48,9 @@
         if node is None:
             self._refuse(answering, Code.NOT_CONFIRMED, ())
             return []
-        asked = _start_request(node, call, now)
-        self._pending[asked.number] = answering
-        return asked.acts
+        started = _start_request(node, call, now)
+        self._pending[started.number] = answering
+        return started.acts
 
     def send_result(
         self,
@@ -60,7 +61,7 @@
             | discovery_server.Unconfirmed
         ),
     ) -> None:
-        """Give a caller what became of its call."""
+        """Send the result of a call to its caller."""
         match act:
             case node_lib.Replaced():
                 self._reply(act.number, self._dialect.done(), act.version)
@@ -74,7 +75,7 @@
                 self._reply_unconfirmed(act.number)
 
     def reject_pending(self) -> None:
-        """Tell all callers that nothing is confirmed."""
+        """Reply to all waiting callers that their calls are unconfirmed."""
         for number in list(self._pending):
             self._reply_unconfirmed(number)
 
@@ -109,7 +110,7 @@
 ) -> discovery_server.StartedRequest:
     match call:
         case calls_lib.Replace():
-            _log.info("replace asked", version=call.deployment.version)
+            _log.info("replace requested", version=call.deployment.version)
             data = zlib.compress(call.raw, const.COMPRESS_LEVEL)
             return node.replace(call.deployment.version, data, now)
         case calls_lib.Announce():
--- a/jasperweir/daemons/loop_host.py
+++ b/jasperweir/daemons/loop_host.py
@@ -1,4 +1,4 @@
-"""Event loop, link, clock, signals and logs of one deployed process."""
+"""Runtime of a deployed process: event loop, link, signals and logs."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,36 +20,44 @@
 
 _log = logs.logger("host")
 
-# Log lines leave the process this often, seconds.
+# Interval at which buffered log lines are written, seconds.
 LOG_FLUSH_SECONDS = 0.25
-# An alarm is never sooner than this, so that nothing spins, seconds.
+# Shortest delay of a timer, which prevents busy loops, seconds.
 MIN_DELAY_SECONDS = 0.005
-# A function that failed is called again after this long, seconds.
+# Delay until a timer's function is called again after an error, seconds.
 RETRY_SECONDS = 0.25
-# Connections are checked for their age this often, seconds.
+# Interval of the check for timed-out connections, seconds.
 AGE_CHECK_SECONDS = 0.5
-# What has been sent and received is logged this often, seconds: for a look at
-# what a site's own messages cost.
+# Interval at which the traffic between processes is logged, seconds.
 TRAFFIC_LOG_SECONDS = 30.0
-# Kinds of message, by bytes, that this line names.
+# Number of message kinds with the most bytes in the traffic log line.
 MAX_LOGGED_KINDS = 6
 
 
 class WakeupTimer:
-    """Call a function at the next time at which it has something to do."""
+    """One-shot timer that can be moved to an earlier time.
+
+    The function schedules its next call itself. If it raises an exception, it
+    is called again after RETRY_SECONDS.
+    """
 
     def __init__(self, *, host: "LoopHost", func: Callable[[], None]) -> None:
-        """Begin without a time; ``func`` sets the next one itself."""
+        """Create an unscheduled timer.
+
+        Args:
+            host: Source of time and delayed calls.
+            func: Function to call when the timer is due.
+        """
         self._host = host
         self._func = func
         self._due_at = math.inf
         self._handle: asyncio.TimerHandle | None = None
 
     def schedule(self, at: float) -> None:
-        """Call at a time, or sooner if that was set before.
+        """Schedule the call; an earlier scheduled time stays.
 
         Args:
-            at: Monotonic seconds.
+            at: Due time in monotonic seconds.
         """
         if at >= self._due_at:
             return
@@ -65,23 +73,25 @@
         try:
             self._func()
         except Exception:
-            # It did not come to set its next time.
+            # The function may have failed before it scheduled its next call.
             self.schedule(self._host.now() + RETRY_SECONDS)
             raise
 
 
 class LoopHost:
-    """What every deployed process needs besides its own decisions.
+    """Runtime of a deployed process on one event loop.
 
-    Pykka's actors are threads; here one event loop does their part, since
-    one thread runs at a time on these VMs and each hand-over costs a wake.
+    An event loop replaces the actor threads of base.Host, because threads do
+    not run in parallel on these VMs and each switch costs a wake-up.
 
     Attributes:
         clock: Time source.
         rng: Random source.
-        link: Frames to and from our other processes.
-        metrics: Counters and histograms.
-        pages: Further pages at the address of the metrics, by path.
+        cfg: Settings of the process.
+        incarnation: Random odd number that identifies this start.
+        link: Connections to other Jasperweir processes.
+        metrics: Counters, gauges and histograms.
+        pages: Additional handlers on the metrics address, by path.
     """
 
     def __init__(
@@ -121,7 +131,12 @@
     async def start(
         self, *, on_stop: Callable[[], None], on_reload: Callable[[], None]
     ) -> None:
-        """Start the link, the metrics page and the signal handlers."""
+        """Start the link, the metrics page and the signal handlers.
+
+        Args:
+            on_stop: Called on SIGTERM and SIGINT.
+            on_reload: Called on SIGHUP.
+        """
         self._loop = asyncio.get_running_loop()
         self._loop.add_signal_handler(signal.SIGTERM, on_stop)
         self._loop.add_signal_handler(signal.SIGINT, on_stop)
@@ -142,7 +157,7 @@
     async def serve(
         self, address: str, handler: http_server.Handler
     ) -> http_server.Server:
-        """Listen on an address."""
+        """Start an HTTP server on an address."""
         server = http_server.Server(address=address, handler=handler)
         server.on_first = self._schedule_age_check
         await server.start()
@@ -150,7 +165,7 @@
         return server
 
     def call_every(self, seconds: float, func: Callable[[], None]) -> None:
-        """Call a function again and again; its errors are logged."""
+        """Call a function periodically; exceptions are logged."""
 
         def run() -> None:
             self.call_later(seconds, run)
@@ -161,7 +176,7 @@
     def call_later(
         self, seconds: float, func: Callable[[], None]
     ) -> asyncio.TimerHandle:
-        """Call a function once; an error of it is logged."""
+        """Call a function once after a delay; an exception is logged."""
         assert self._loop is not None
 
         def run() -> None:
@@ -169,22 +184,22 @@
             try:
                 func()
             except Exception:  # noqa: BLE001
-                _log.exception("error in a timed task")
+                _log.exception("error in a timer callback")
                 self.metrics.inc("errors")
 
         return self._loop.call_later(seconds, run)
 
     def make_timer(self, func: Callable[[], None]) -> "WakeupTimer":
-        """Return a timer for a function that is due at changing times."""
+        """Return a timer whose function schedules its own next call."""
         return WakeupTimer(host=self, func=func)
 
     def send(self, act: core.Send) -> None:
-        """Send a message to a node, whose name is its address."""
+        """Send a message to a node; the node's name is its address."""
         self.link.learn(act.dst, act.dst)
         self.link.send(act.dst, act.msg)
 
     def stop(self) -> None:
-        """Close the link and write the last log lines."""
+        """Log the traffic, flush the log and stop the link."""
         self._log_traffic()
         _log.info("stopped")
         self._logs.flush()
@@ -200,24 +215,26 @@
         )
 
     def _bytes_by_kind(self) -> dict[str, int]:
-        """Return the bytes of the most costly kinds of message."""
+        """Return bytes by direction and kind, for the kinds with the most."""
         kinds = sorted(
             self.link.by_kind.items(), key=lambda item: -item[1].size
         )
         return {
-            f"{way} {kind}": seen.size
-            for (way, kind), seen in kinds[:MAX_LOGGED_KINDS]
+            f"{direction} {kind}": traffic.size
+            for (direction, kind), traffic in kinds[:MAX_LOGGED_KINDS]
         }
 
     def _receive(self, received: link_lib.Received) -> None:
         try:
             self._on_frame(received.env.src, received.msg)
         except Exception:  # noqa: BLE001
-            _log.exception("error on a frame", kind=received.env.kind)
+            _log.exception(
+                "error while a message was handled", kind=received.env.kind
+            )
             self.metrics.inc("errors")
 
     def _schedule_age_check(self) -> None:
-        """Look at the age of connections as long as there are any."""
+        """Schedule the next check of connections for timeouts."""
         if self._age_check_scheduled or self._loop is None:
             return
         self._age_check_scheduled = True
@@ -243,10 +260,10 @@
         """Copy the link's counters into the metrics."""
         for kind, count in self.link.counters.items():
             self.metrics.gauge("link_frames", float(count), kind=kind)
-        for (way, kind), seen in self.link.by_kind.items():
-            labels = {"way": way, "kind": kind}
-            self.metrics.gauge("link_kind_frames", seen.frames, **labels)
-            self.metrics.gauge("link_kind_bytes", seen.size, **labels)
+        for (direction, kind), traffic in self.link.by_kind.items():
+            labels = {"way": direction, "kind": kind}
+            self.metrics.gauge("link_kind_frames", traffic.frames, **labels)
+            self.metrics.gauge("link_kind_bytes", traffic.size, **labels)
 
     def _on_metrics(self, answering: http_server.Answering) -> None:
         page = self.pages.get(answering.request.path)
@@ -259,18 +276,18 @@
 
 
 class SuspendAwareEventLoop(asyncio.SelectorEventLoop):
-    """Event loop whose timers count suspensions of the VM.
+    """Event loop whose timers include the time for which the VM is suspended.
 
-    The kernel's own waits do not: a timer that came due meanwhile runs when
-    the loop wakes next, which the shortest running timer decides.
+    The kernel's wait excludes it, so a timer that becomes due during a
+    suspension runs at the loop's next wake-up.
     """
 
     def time(self) -> float:
-        """Return the time by which timers are due, in seconds."""
+        """Return seconds, including suspensions of the VM."""
         return clocks.elapsed()
 
 
 def run(main: Callable[[], Coroutine[Any, Any, Any]]) -> Any:
-    """Run a process's coroutine on a loop that counts suspensions."""
+    """Run a coroutine on a SuspendAwareEventLoop and return its result."""
     with asyncio.Runner(loop_factory=SuspendAwareEventLoop) as runner:
         return runner.run(main())
--- a/jasperweir/daemons/node_settings.py
+++ b/jasperweir/daemons/node_settings.py
@@ -1,18 +1,20 @@
-"""Settings of the daemons that run under an operator's platform."""
+"""Settings of the daemons that an operator's platform deploys."""
 
 from typing import NamedTuple
 
 
 class Bounds(NamedTuple):
-    """Times and shares that the deployment promises.
+    """Time limits and retry budget of the deployment.
 
     Attributes:
-        grace_s: Time between the signal to stop and the forced end, seconds.
-        retry_ratio: Second sends allowed per first request.
-        retry_window_s: Window of the retry budget, seconds.
-        retry_burst: Second sends allowed besides.
-        stall_s: Time for which work stalls that needs a dead peer, seconds.
-        answer_kept_s: Longest time that callers keep an address answer.
+        grace_s: Seconds between the stop signal and the forced termination.
+        retry_ratio: Retries allowed per request.
+        retry_window_s: Length of the retry budget's window, seconds.
+        retry_burst: Retries allowed in addition to the ratio.
+        stall_s: Longest time for which operations that need a failed peer
+            stall, seconds.
+        answer_kept_s: Longest time for which callers cache an address lookup,
+            seconds.
     """
 
     grace_s: float
@@ -24,25 +26,27 @@
 
 
 class NodeSettings(NamedTuple):
-    """What one process is told at its start.
+    """Settings of one process, read at its start.
 
     Attributes:
-        machine: Name of its VM, for logs.
-        place: Data centre.
-        address: IP address of its VM.
-        internal: ``ip:port`` for our own processes; also the node's name.
-        seeds: Internal addresses of some control VMs.
-        bootstrap: Whether the whole system starts for the first time.
-        data_folder: Folder on the VM's disk, empty without one.
-        callers: ``ip:port`` for callers, empty if it serves none.
+        machine: Name of the VM, for logs and metrics.
+        place: Data centre of the VM.
+        address: IP address of the VM.
+        internal: ``ip:port`` for other Jasperweir processes; also the node's
+            name.
+        seeds: Internal addresses of control VMs to connect to first.
+        bootstrap: Whether this is the first start of the whole system.
+        data_folder: Data folder on the VM's disk, empty if there is none.
+        callers: ``ip:port`` for callers' requests, or empty.
         ready: ``ip:port`` for the platform's readiness checks, or empty.
-        lookup: ``ip:port`` for callers that ask for addresses, or empty.
-        control: ``ip:port`` for targets and operators, or empty.
+        lookup: ``ip:port`` for callers' address lookups, or empty.
+        control: ``ip:port`` for calls of targets and operators, or empty.
         metrics: ``ip:port`` of the metrics page.
         engine: ``ip:port`` of the target on the same VM, or empty.
-        service: Service of that target, or empty.
-        lost_at_once: Control VMs that may be lost without any harm.
-        bounds: The deployment's bounds.
+        service: Name of the service of that target, or empty.
+        lost_at_once: Number of control VMs that may fail together without
+            loss of service.
+        bounds: Time limits and retry budget.
     """
 
     machine: str
@@ -64,5 +68,5 @@
 
     @property
     def wanted_seats(self) -> int:
-        """Voting members that survive the loss of ``lost_at_once``."""
+        """Number of voters that keep a quorum if ``lost_at_once`` fail."""
         return 2 * self.lost_at_once + 1
--- a/jasperweir/daemons/site_agent.py
+++ b/jasperweir/daemons/site_agent.py
@@ -1,4 +1,4 @@
-"""Deployed agent beside an engine: its state, counts and orders."""
+"""Deployed agent of an engine: state reports, expert counts and orders."""
 
 import asyncio
 from typing import Any
@@ -19,12 +19,12 @@
 
 _log = logs.logger("agent")
 
-# An agent beats this often; nobody is routed to it.
+# Interval of an agent's heartbeats, seconds; agents serve no requests.
 HEARTBEAT_SECONDS = 1.0
 
 
 class SiteAgent:
-    """Drive a Runner with the engine's own calls."""
+    """Connects an OrderExecutor to the engine's HTTP API and the link."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         self._read_timer = self._host.make_timer(self._start_read)
 
     async def run(self) -> None:
-        """Serve until told to stop."""
+        """Serve until a stop signal."""
         await self._host.start(
             on_stop=self._stop_requested.set, on_reload=_no_reload
         )
@@ -149,7 +149,7 @@
                 return
             self._experts = self._dialect.placement(raw)
             self._experts_version = (state.epoch, state.map_version)
-        beat = messages.EngineHeartbeat(
+        heartbeat = messages.EngineHeartbeat(
             service=self._cfg.service,
             address=self._cfg.engine,
             term=term,
@@ -157,10 +157,10 @@
             choices=await self._read_choices(),
             experts=self._experts,
         )
-        self._host.send(core.Send(dst=self._leader, msg=beat))
+        self._host.send(core.Send(dst=self._leader, msg=heartbeat))
 
     async def _read_choices(self) -> expert_counts.ExpertCounts:
-        """Return what the engine's requests chose since the last beat."""
+        """Return how often experts were selected since the last heartbeat."""
         if not self._report_schedule.counted:
             return expert_counts.NO_CHOICES
         raw = await self._engine.get(self._dialect.COUNTS_TARGET)
@@ -171,9 +171,9 @@
         except ValueError as exc:
             _log.warning("counts cannot be read", reason=str(exc))
             return expert_counts.NO_CHOICES
-        before = self._count_differ.dropped
+        dropped_before = self._count_differ.dropped
         choices = self._count_differ.update(counts, self._host.now())
-        if self._count_differ.dropped > before:
+        if self._count_differ.dropped > dropped_before:
             self._host.metrics.inc("counts_dropped")
             _log.warning(
                 "counts make no sense", dropped=self._count_differ.dropped
@@ -182,13 +182,13 @@
 
 
 def _no_reload() -> None:
-    _log.info("reload asked for: seeds are read at the start only")
+    _log.info("reload ignored: seeds are read only at startup")
 
 
 def run(
     *, cfg: node_settings.NodeSettings, dialect: engine_client.EngineDialect
 ) -> None:
-    """Run an agent until it is stopped."""
+    """Run an agent until a stop signal."""
 
     async def main() -> None:
         await SiteAgent(cfg=cfg, dialect=dialect).run()
--- a/jasperweir/daemons/site_control.py
+++ b/jasperweir/daemons/site_control.py
@@ -1,4 +1,4 @@
-"""Deployed control VM: one voter with a disk, operators and targets."""
+"""Deployed control VM: voter, discovery and expert map coordination."""
 
 import asyncio
 import pathlib
@@ -35,28 +35,25 @@
 
 _log = logs.logger("control")
 
-# A disk that refused a write is tried again after this long, seconds.
+# Delay until storage is opened again after an error, seconds.
 DISK_RETRY_SECONDS = 0.5
-# Soft state is written down this often if it has changed, seconds.
+# Interval at which changed soft state is saved, seconds.
 SAVE_SOFT_STATE_SECONDS = 0.5
-# Which agents and entries there are is looked at this often by a leader; they
-# beat no more often. Seconds.
+# Interval at which the leader updates the coordinator's agents and entries,
+# seconds.
 NODE_UPDATE_SECONDS = 0.1
-# Entries are told at once which targets are slow, as far as a look this often
-# shows it, seconds.
+# Interval of the check whether to send entries the slow targets, seconds.
 SLOW_TARGET_CHECK_SECONDS = 0.1
-# A stopping control VM stays this long after it has handed over the lead, so
-# that calls under way get their answers, seconds.
+# Delay between the transfer of leadership and the end of a stop, so that open
+# calls are answered, seconds.
 STOP_DELAY_SECONDS = 1.5
-
-
-# The planner is loaded this long after the start, when entries have their
+# Delay after the start until the planner is loaded, when entries have their
 # configuration and before an election ends, seconds.
 LOAD_GROUPS_DELAY_SECONDS = 0.3
 
 
 class SiteControl:
-    """Drive a ConfigNode with a disk, a link and HTTP."""
+    """Connects a ConfigNode and a Coordinator to a disk, a link and HTTP."""
 
     def __init__(
         self,
@@ -82,25 +79,25 @@
         )
         self._mark_replication = spread_lib.ControlSpread()
         self._engines: dict[str, model.Engine] = {}
-        # Engines whose agents do not answer.
+        # Sends orders directly to engines whose agents do not respond.
         self._remote_engines = engine_client.RemoteEngines(
             dialect=engines, send=self._on_direct_result
         )
-        # When the groups are told again which agents and entries there are.
+        # Monotonic time of the coordinator's next update of agents and entries.
         self._next_node_update_at = 0.0
-        # Whether a plan is to be gone on with before the next tick.
+        # Whether planning continues before the next tick.
         self._plan_scheduled = False
         self._slow_target_notifier = slow_target_notifier.SlowTargetNotifier()
-        # Commit index and directory digest that are written down.
+        # Commit index and directory digest that were saved last.
         self._saved_state = (0, 0)
 
     async def run(self) -> None:
-        """Serve until told to stop."""
+        """Serve until a stop signal."""
         await self._host.start(on_stop=self._on_stop, on_reload=self._on_reload)
         self._start_node()
         await self._host.serve(self._cfg.control, self._handle_call)
         if self._cfg.data_folder:
-            # One without a disk never leads, and saves the memory.
+            # A VM without a disk never leads and needs no planner in memory.
             self._host.call_later(
                 LOAD_GROUPS_DELAY_SECONDS, self._group_loader.load
             )
@@ -117,7 +114,7 @@
     # Lifecycle.
 
     def _start_node(self) -> None:
-        """Read the disk and begin anew from what it holds."""
+        """Read the storage and start the node from the recovered state."""
         try:
             recovered = self._storage.open()
         except exceptions.StorageError as exc:
@@ -138,8 +135,10 @@
             wanted_seats=self._cfg.wanted_seats,
             has_disk=bool(self._cfg.data_folder),
         )
-        side = self._storage.load_soft_state()
-        self._perform(self._node.restore(recovered.commit_hint, side, now))
+        soft_state = self._storage.load_soft_state()
+        self._perform(
+            self._node.restore(recovered.commit_hint, soft_state, now)
+        )
         _log.info(
             "data folder read",
             disk=voter.disk,
@@ -155,7 +154,7 @@
             self._perform(self._node.tick(now))
 
     def _on_storage_error(self, exc: exceptions.StorageError) -> None:
-        """Forget what is not on disk, and try again a little later."""
+        """Discard the node and schedule a restart from the stored state."""
         _log.error("disk refuses", reason=str(exc))
         self._host.metrics.inc("disk_failures")
         self._node = None
@@ -170,7 +169,7 @@
         self._stopping.set()
 
     def _on_reload(self) -> None:
-        _log.info("reload asked for: seeds are read at the start only")
+        _log.info("reload ignored: seeds are read only at startup")
 
     def _tick(self) -> None:
         now = self._host.now()
@@ -183,13 +182,13 @@
             self._tick_coordinator(self._node, now)
 
     def _save_soft_state(self) -> None:
-        """Write down soft state, for a quicker restart."""
+        """Save the soft state if it changed, for a faster restart."""
         self._mark_replication.tick(self._host.now())
         node = self._node
         if node is None:
             return
-        noted = (node.voter.commit, node.discovery.directory.digest)
-        if noted == self._saved_state:
+        state = (node.voter.commit, node.discovery.directory.digest)
+        if state == self._saved_state:
             return
         try:
             self._storage.save_commit_hint(node.voter.commit)
@@ -197,13 +196,13 @@
                 node.discovery.soft_state(self._host.now())
             )
         except exceptions.StorageError as exc:
-            # Only a restart would take longer without it.
+            # Without soft state only the next restart is slower.
             _log.warning("soft state not written", reason=str(exc))
             return
-        self._saved_state = noted
+        self._saved_state = state
 
     def _tick_coordinator(self, node: node_lib.ConfigNode, now: float) -> None:
-        """Drive the switch of expert maps while this VM surely leads."""
+        """Update and tick the coordinator of expert map switches."""
         if self._get_leader_term(now) and now >= self._next_node_update_at:
             self._next_node_update_at = now + NODE_UPDATE_SECONDS
             for agent in node.discovery.nodes.live_nodes(
@@ -218,14 +217,14 @@
         self._schedule_plan()
 
     def _get_leader_term(self, now: float) -> int:
-        """Return the term in which this VM surely leads, 0 if it doesn't."""
+        """Return the term if this VM is the confirmed leader, otherwise 0."""
         if self._node is None or not self._group_loader.loaded:
             return 0
-        leads = self._node.voter.read_index(now) is not None
-        return self._node.voter.term if leads else 0
+        is_leader = self._node.voter.read_index(now) is not None
+        return self._node.voter.term if is_leader else 0
 
     def _schedule_plan(self) -> None:
-        """Go on with a plan before the next tick."""
+        """Schedule the next part of a plan before the next tick."""
         if not self._coordinator.is_planning or self._plan_scheduled:
             return
         self._plan_scheduled = True
@@ -242,23 +241,24 @@
     def _list_hold_senders(
         self, node: node_lib.ConfigNode, now: float
     ) -> list[str]:
-        """Return the entries that may give holds.
+        """Return the entries that may send holds of requests.
 
-        None that is stopping, and none on a VM of control, where there are
-        others.
+        Entries that are open and on a VM without control are preferred.
         """
         entries = node.discovery.nodes.live_nodes(
             directory_const.KIND_ENTRY, now
         )
         entries = [entry for entry in entries if entry.open] or entries
-        controls = {name.rpartition(":")[0] for name in node.discovery.controls}
-        controls.add(self._cfg.address)
-        apart = [
+        control_addresses = {
+            name.rpartition(":")[0] for name in node.discovery.controls
+        }
+        control_addresses.add(self._cfg.address)
+        separate = [
             entry.name
             for entry in entries
-            if entry.name.rpartition(":")[0] not in controls
+            if entry.name.rpartition(":")[0] not in control_addresses
         ]
-        return apart or [entry.name for entry in entries]
+        return separate or [entry.name for entry in entries]
 
     def _on_frame(self, src: str, msg: Any) -> None:
         if self._node is None:
@@ -290,7 +290,7 @@
     # Actions.
 
     def _perform(self, acts: node_lib.Actions) -> None:
-        """Carry out actions in order; what is saved is synced first."""
+        """Perform actions in order; saves are synced before later sends."""
         try:
             for act in acts:
                 self._perform_one(act)
@@ -340,7 +340,7 @@
                 self._calls.send_result(act)
 
     def _record_switch(self, act: mapswitch_actions.SwitchCompleted) -> None:
-        """Record how long the parts of a switch took."""
+        """Record the durations of a switch's phases."""
         metrics = self._host.metrics
         metrics.observe("map_copying_seconds", act.copying_s)
         metrics.observe("map_ordering_seconds", act.ordering_s)
@@ -348,14 +348,14 @@
         _log.info("expert map switched", **act._asdict())
 
     def _on_direct_result(self, act: core.Send) -> None:
-        """Take in a result as if the engine's agent had told it."""
+        """Handle a direct order's result like one from the engine's agent."""
         now = self._host.now()
         self._perform(
             self._coordinator.receive(act.dst, act.msg, self._engines, now)
         )
 
     def _send_slow_targets(self) -> None:
-        """Tell the entries which targets are slow, while any is."""
+        """Send the list of slow targets to the entries if an update is due."""
         node = self._node
         if node is None or not self._coordinator.is_leader:
             return
@@ -401,7 +401,7 @@
     dialect: calls_lib.ControlDialect,
     engines: engine_client.EngineDialect,
 ) -> None:
-    """Run a control VM until it is stopped."""
+    """Run a control VM until a stop signal."""
 
     async def main() -> None:
         await SiteControl(cfg=cfg, dialect=dialect, engines=engines).run()
--- a/jasperweir/daemons/site_entry.py
+++ b/jasperweir/daemons/site_entry.py
@@ -1,4 +1,4 @@
-"""Deployed entry: callers' requests, address answers, readiness."""
+"""Deployed entry: callers' requests, address lookups and readiness."""
 
 import asyncio
 from typing import Any
@@ -7,7 +7,7 @@
 import zlib
 
 from jasperweir import core
-from jasperweir.components.address import entry_selection as near_lib
+from jasperweir.components.address import entry_selection
 from jasperweir.components.balance import budget as budget_lib
 from jasperweir.components.balance import const as balance_const
 from jasperweir.components.balance import messages as balance_messages
@@ -35,41 +35,54 @@
 
 _log = logs.logger("entry")
 
+# Interval of ticks while the forwarder has work, seconds.
 TICK_SECONDS = 0.02
-# While it stops, what is still open is looked at this often, seconds.
+# Interval of the check for open requests during a stop, seconds.
 STOP_TICK_SECONDS = 0.1
+# Interval at which the forwarder removes unused state, seconds.
 CLEANUP_SECONDS = 0.5
-# Callers keep an address answer for this long, and some three times as long.
+# Time to live of an address lookup, seconds; some callers cache it three times
+# as long.
 ADDRESS_TTL_SECONDS = 0.5
-# An entry that stops serves those who still come for longer than any caller
-# keeps an answer that names it, seconds.
+# Time for which a stopping entry accepts requests, longer than callers cache a
+# lookup that names it, seconds.
 STOP_SERVING_SECONDS = 4.5
-# It ends this long before it would be ended, seconds.
+# Time by which a stop ends before the forced termination, seconds.
 STOP_MARGIN_SECONDS = 0.6
 
 
 class Lookup(NamedTuple):
-    """A caller asks which addresses to use."""
+    """A caller's query for addresses of entries.
+
+    Attributes:
+        host: Name that the caller looks up.
+        place: Data centre of the caller.
+    """
 
     host: str
     place: str
 
 
 class EntryDialect(dialect_lib.Dialect, Protocol):
-    """Translate what callers and the platform say to an entry."""
+    """Translates the HTTP API of callers and of the platform."""
 
     def lookup(self, req: http_message.Request) -> Lookup | None:
-        """Read a question for addresses; None if it is something else."""
+        """Decode an address lookup, None if the request is not one."""
 
     def addresses(self, addresses: list[str], ttl_s: float) -> bytes:
-        """Return the body of an address answer."""
+        """Return the body of the response to an address lookup.
+
+        Args:
+            addresses: Addresses of entries.
+            ttl_s: Time for which the caller may cache them, seconds.
+        """
 
     def deployment(self, raw: bytes) -> model.Deployment:
-        """Read a configuration that a control VM has accepted."""
+        """Decode a configuration that a control VM accepted."""
 
 
 class SiteEntry:
-    """Drive a Forwarder and a Follower with sockets."""
+    """Connects a Forwarder and a DiscoveryClient to sockets and timers."""
 
     def __init__(
         self,
@@ -133,7 +146,7 @@
         self._stopped = asyncio.Event()
 
     async def run(self) -> None:
-        """Serve until told to stop."""
+        """Serve until a stop signal."""
         await self._host.start(on_stop=self._on_stop, on_reload=self._on_reload)
         self._server = await self._host.serve(
             self._cfg.callers, self._forwarder.handle
@@ -151,10 +164,10 @@
         self._host.stop()
 
     def _schedule_tick(self) -> None:
-        """Tick as long as there is something to do.
+        """Schedule a tick unless one is scheduled.
 
-        An entry of a large site carries two or three streams: ticking all the
-        time would be most of its wake-ups.
+        Ticks run only while there is work, since constant ticks would be most
+        of the wake-ups of an entry with few streams.
         """
         if self._tick_scheduled:
             return
@@ -167,7 +180,7 @@
         if self._forwarder.has_work:
             self._schedule_tick()
 
-    # Following control.
+    # Discovery.
 
     def _tick_discovery(self) -> None:
         now = self._host.now()
@@ -178,7 +191,7 @@
             self._advance_stop(now)
             return
         if not self._discovery.node.open:
-            # What targets must be kept from is known before callers come.
+            # Quarantine marks are fetched before the entry accepts callers.
             self._compare_marks()
         is_open = self._forwarder.index is not None
         is_open = is_open and self._discovery.is_ready(now)
@@ -201,17 +214,17 @@
                 self._forwarder.on_marks(now)
                 return
             case mapswitch_messages.SlowTargets():
-                paces = {t.address: t.pace for t in msg.targets}
-                self._forwarder.on_paces(paces, now)
+                slowdowns = {t.address: t.pace for t in msg.targets}
+                self._forwarder.on_paces(slowdowns, now)
                 return
         self._perform(self._discovery.receive(src, msg, now))
         if not self._discovery.node.open and not self._stop_requested_at:
-            # What has come may be what it waited for.
+            # The message may complete what the entry needs to open.
             self._tick_discovery()
         self._discovery_timer.schedule(self._discovery.next_tick(now))
 
     def _broadcast_marks(self, marks: end_watch.Marks) -> None:
-        """Tell the other processes under which requests targets ended."""
+        """Send marks of crash-related requests to entries and control VMs."""
         now = self._host.now()
         names = [node.name for node in self._forwarder.neighbours.peers]
         names += self._discovery.reachable_controls(now)
@@ -262,7 +275,7 @@
         self._perform(self._discovery.announce_target_gone(target, now))
 
     def _on_target_draining(self, target: records.Target) -> None:
-        """Tell the other entries of a target that says it leaves."""
+        """Announce a draining target to the control VMs."""
         self._perform(
             self._discovery.announce_target_leaving(target, self._host.now())
         )
@@ -275,7 +288,7 @@
         loop.call_later(balance_const.SHARE_DELAY_SECONDS, self._send_share)
 
     def _update_entries(self) -> None:
-        """Look who the other entries are, and tell them in any case."""
+        """Update the list of entries and send them this entry's load."""
         entries = self._discovery.open_entries(self._host.now())
         self._forwarder.on_entries(entries)
         self._send_share()
@@ -286,7 +299,7 @@
         for node in self._forwarder.neighbours.peers:
             self._host.send(core.Send(dst=node.name, msg=share))
 
-    # Planned stop.
+    # Graceful stop.
 
     def _on_stop(self) -> None:
         if self._stop_requested_at:
@@ -303,40 +316,42 @@
         )
 
     def _on_reload(self) -> None:
-        _log.info("reload asked for: seeds are read at the start only")
+        _log.info("reload ignored: seeds are read only at startup")
 
     def _advance_stop(self, now: float) -> None:
-        since = now - self._stop_requested_at
-        if since < STOP_SERVING_SECONDS:
+        elapsed_s = now - self._stop_requested_at
+        if elapsed_s < STOP_SERVING_SECONDS:
             return
         self._forwarder.stop()
-        last = self._cfg.bounds.grace_s - STOP_MARGIN_SECONDS
-        if self._forwarder.open_count and since < last:
+        max_stop_s = self._cfg.bounds.grace_s - STOP_MARGIN_SECONDS
+        if self._forwarder.open_count and elapsed_s < max_stop_s:
             return
         if self._server is not None:
             self._server.close_listener()
             self._server.close_idle()
         self._stopped.set()
 
-    # Questions of the platform and of callers.
+    # Readiness checks and address lookups.
 
     def _on_ready_check(self, answering: http_server.Answering) -> None:
         ready = self._discovery.node.open and not self._stop_requested_at
         answering.reply(200 if ready else 503, [], b"")
 
     def _on_lookup(self, answering: http_server.Answering) -> None:
-        asked = self._dialect.lookup(answering.request)
-        if asked is None:
+        lookup = self._dialect.lookup(answering.request)
+        if lookup is None:
             answering.reply(404, [], b"")
             return
         entries = self._discovery.open_entries(self._host.now())
-        found = near_lib.choose_addresses(entries, asked.place, self._host.rng)
-        if not found:
+        addresses = entry_selection.choose_addresses(
+            entries, lookup.place, self._host.rng
+        )
+        if not addresses:
             self._host.metrics.inc("lookups", outcome="none")
             answering.reply(503, [(b"retry-after", b"1")], b"")
             return
         self._host.metrics.inc("lookups", outcome="answered")
-        body = self._dialect.addresses(found, ADDRESS_TTL_SECONDS)
+        body = self._dialect.addresses(addresses, ADDRESS_TTL_SECONDS)
         headers = [(b"content-type", b"application/json")]
         answering.reply(200, headers, body)
 
@@ -347,7 +362,7 @@
     dialect: EntryDialect,
     engines: engine_client.EngineDialect,
 ) -> None:
-    """Run an entry until it is stopped."""
+    """Run an entry until a stop signal."""
 
     async def main() -> None:
         await SiteEntry(cfg=cfg, dialect=dialect, engines=engines).run()
--- a/script/guards.py
+++ b/script/guards.py
@@ -299,7 +299,7 @@
           "if now - peer.heard_at >= const.SHARE_STALE_SECONDS:\n"
           "                self.forget(src)",
           "if False:\n                self.forget(src)", "large"),
-    Guard("an alarm outlives an error", "jasperweir/daemons/loop_host.py",
+    Guard("a timer outlives an error", "jasperweir/daemons/loop_host.py",
           "self.schedule(self._host.now() + RETRY_SECONDS)", "pass", "large"),
     Guard("an earlier start changes nothing", C + "directory/directory.py",
           "                # A late word of a start that is over.\n"
