--- a/jasperweir/daemons/config.py
+++ b/jasperweir/daemons/config.py
@@ -1,4 +1,4 @@
-"""Settings of the daemons."""
+"""Schemas of the daemons' settings files and their common settings."""
 
 import pathlib
 from typing import NamedTuple
@@ -67,7 +67,7 @@
 CONTROL_SCHEMA: settings.Schema = {
     **_COMMON,
     "data": settings.Section(fields={"folder": settings.text()}),
-    # Operator name to the SHA-256 of its token, in hexadecimal.
+    # Maps an operator's name to the hexadecimal SHA-256 of its token.
     "operators": settings.Section(
         required=False,
         fields={},
@@ -109,8 +109,22 @@
 }
 
 
-class Common(NamedTuple):
-    """Settings that all daemons share."""
+class CommonSettings(NamedTuple):
+    """Settings common to all daemons.
+
+    Attributes:
+        name: Name of the node.
+        place: Data centre of the node.
+        seed: Seed of the random source, 0 for the start time.
+        internal: ``ip:port`` for other Jasperweir processes.
+        http: ``ip:port`` of the HTTP server.
+        threads: Number of threads of the HTTP server.
+        voters: Control nodes that vote.
+        seeds: Nodes to connect to first, including the voters.
+        keys: Key pair of the link, None without encryption.
+        log_style: ``text`` or ``json``.
+        log_level: Lowest level that is logged.
+    """
 
     name: str
     place: str
@@ -125,14 +139,14 @@
     log_level: str
 
 
-def common(values: settings.Values) -> Common:
-    """Return the shared settings of a checked file.
+def read_common(values: settings.Values) -> CommonSettings:
+    """Return the common settings of a validated file.
 
     Raises:
         SettingsError: The key file cannot be read.
     """
-    voters = _peers(values["control"]["voters"])
-    return Common(
+    voters = _parse_peers(values["control"]["voters"])
+    return CommonSettings(
         name=values["node"]["name"],
         place=values["node"]["place"],
         seed=values["node"]["seed"],
@@ -140,31 +154,31 @@
         http=values["listen"]["http"],
         threads=values["listen"]["threads"],
         voters=voters,
-        seeds=(*_peers(values["membership"]["seeds"]), *voters),
+        seeds=(*_parse_peers(values["membership"]["seeds"]), *voters),
         keys=_read_keys(values["keys"]["file"]),
         log_style=values["log"]["style"],
         log_level=values["log"]["level"],
     )
 
 
-def _peers(text: str) -> tuple[member_messages.Peer, ...]:
+def _parse_peers(text: str) -> tuple[member_messages.Peer, ...]:
     peers = []
-    for part in text.split(","):
-        name, at, address = part.strip().partition("@")
-        if at:
+    for item in text.split(","):
+        name, separator, address = item.strip().partition("@")
+        if separator:
             peers.append(member_messages.Peer(name=name, addr=address))
     return tuple(peers)
 
 
-def _read_keys(name: str) -> link.Keys | None:
-    if not name:
+def _read_keys(path: str) -> link.Keys | None:
+    if not path:
         return None
     try:
-        lines = pathlib.Path(name).read_text(encoding="ascii").split()
+        lines = pathlib.Path(path).read_text(encoding="ascii").split()
         public, secret = lines
     except (OSError, ValueError) as exc:
         problem = (
-            f"[keys] file: found '{name}'; allowed: a file that "
+            f"[keys] file: found '{path}'; allowed: a file that "
             f"'jasperweir keys new' wrote ({exc})"
         )
         raise exceptions.SettingsError(problems=[problem]) from exc
--- a/jasperweir/daemons/control.py
+++ b/jasperweir/daemons/control.py
@@ -39,7 +39,7 @@
     """
 
     def __init__(self, *, values: settings.Values, clock: core.Clock) -> None:
-        cfg = config.common(values)
+        cfg = config.read_common(values)
         self.host = base.Host(
             cfg=cfg, clock=clock, tick_seconds=control_const.TICK_SECONDS
         )
@@ -148,7 +148,7 @@
         """Advance the controller's timers and export the link's metrics."""
         now = self.host.now()
         self._perform(self.controller.tick(now, self.host.clock.wall()))
-        self.host.export_link(now)
+        self.host.export_link_metrics(now)
 
     def on_error(self, exc: Exception) -> None:
         """Stop the voter on a disk error; count and log any other error.
--- a/jasperweir/daemons/control_calls.py
+++ b/jasperweir/daemons/control_calls.py
@@ -1,4 +1,4 @@
-"""Calls of operators and targets that wait for an answer of a control VM."""
+"""HTTP calls of operators and targets that await a control VM's result."""
 
 import zlib
 
@@ -15,23 +15,24 @@
 
 
 class ControlCalls:
-    """Take calls to a ConfigNode, and its answers back to the callers."""
+    """Passes calls to a ConfigNode and its results back to the callers."""
 
     def __init__(self, *, dialect: calls_lib.ControlDialect) -> None:
         self._dialect = dialect
-        self._open: dict[int, http_server.Answering] = {}
+        self._pending: dict[int, http_server.Answering] = {}
 
-    def take(
+    def handle(
         self,
         answering: http_server.Answering,
         node: node_lib.ConfigNode | None,
         now: float,
     ) -> node_lib.Actions:
-        """Take in a call; return what the node wants done.
+        """Validate a call, start it and return the node's actions.
 
         Args:
-            answering: The call and the way back to its caller.
-            node: Who is asked, None while the disk cannot be used.
+            answering: The HTTP exchange of the call.
+            node: Node that processes the call, None while its storage is
+                unavailable.
             now: Monotonic seconds.
         """
         call = calls_lib.validate_call(self._dialect.call(answering.request))
@@ -47,11 +48,11 @@
         if node is None:
             self._refuse(answering, Code.NOT_CONFIRMED, ())
             return []
-        asked = _ask(node, call, now)
-        self._open[asked.number] = answering
-        return asked.acts
+        started = _start_request(node, call, now)
+        self._pending[started.number] = answering
+        return started.acts
 
-    def answer(
+    def send_result(
         self,
         act: (
             node_lib.Replaced
@@ -60,7 +61,7 @@
             | discovery_server.Unconfirmed
         ),
     ) -> None:
-        """Give a caller what became of its call."""
+        """Send the result of a call to its caller."""
         match act:
             case node_lib.Replaced():
                 self._reply(act.number, self._dialect.done(), act.version)
@@ -71,14 +72,14 @@
                 reply = self._dialect.described(act.declared, raw)
                 self._reply(act.number, reply, act.declared.version)
             case discovery_server.Unconfirmed():
-                self._unconfirmed(act.number)
+                self._reply_unconfirmed(act.number)
 
-    def drop(self) -> None:
-        """Tell all callers that nothing is confirmed."""
-        for number in list(self._open):
-            self._unconfirmed(number)
+    def reject_pending(self) -> None:
+        """Reply to all waiting callers that their calls are unconfirmed."""
+        for number in list(self._pending):
+            self._reply_unconfirmed(number)
 
-    def _unconfirmed(self, number: int) -> None:
+    def _reply_unconfirmed(self, number: int) -> None:
         self._reply(number, self._dialect.refused(Code.NOT_CONFIRMED, ()), 0)
 
     def _refuse(
@@ -91,7 +92,7 @@
         answering.reply(reply.status, reply.headers, reply.body)
 
     def _reply(self, number: int, reply: calls_lib.Reply, version: int) -> None:
-        answering = self._open.pop(number, None)
+        answering = self._pending.pop(number, None)
         if answering is None:
             return
         _log.info(
@@ -104,12 +105,12 @@
         answering.reply(reply.status, reply.headers, reply.body)
 
 
-def _ask(
+def _start_request(
     node: node_lib.ConfigNode, call: calls_lib.Call, now: float
 ) -> discovery_server.StartedRequest:
     match call:
         case calls_lib.Replace():
-            _log.info("replace asked", version=call.deployment.version)
+            _log.info("replace requested", version=call.deployment.version)
             data = zlib.compress(call.raw, const.COMPRESS_LEVEL)
             return node.replace(call.deployment.version, data, now)
         case calls_lib.Announce():
--- a/jasperweir/daemons/entry.py
+++ b/jasperweir/daemons/entry.py
@@ -36,7 +36,7 @@
     """
 
     def __init__(self, *, values: settings.Values, clock: core.Clock) -> None:
-        cfg = config.common(values)
+        cfg = config.read_common(values)
         limits = values["limits"]
         self.host = base.Host(cfg=cfg, clock=clock)
         self._drain_s = limits["drain_s"]
@@ -134,7 +134,7 @@
         """Advance the entry's timers and export metrics."""
         now = self.host.now()
         self._perform(self.entry.tick(now))
-        self.host.export_link(now)
+        self.host.export_link_metrics(now)
         self._export_metrics(now)
 
     def on_error(self, exc: Exception) -> None:
--- a/jasperweir/daemons/loop_host.py
+++ b/jasperweir/daemons/loop_host.py
@@ -1,4 +1,4 @@
-"""Event loop, link, clock, signals and logs of one deployed process."""
+"""Runtime of a deployed process: event loop, link, signals and logs."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 from typing import Any
 
 from jasperweir import core
-from jasperweir.daemons import deployed
+from jasperweir.daemons import node_settings
 from jasperweir.helpers import clocks
 from jasperweir.helpers import http_server
 from jasperweir.helpers import link as link_lib
@@ -20,74 +20,84 @@
 
 _log = logs.logger("host")
 
-# Log lines leave the process this often, seconds.
+# Interval at which buffered log lines are written, seconds.
 LOG_FLUSH_SECONDS = 0.25
-# An alarm is never sooner than this, so that nothing spins, seconds.
-LEAST_PAUSE_SECONDS = 0.005
-# A function that failed is called again after this long, seconds.
+# Shortest delay of a timer, which prevents busy loops, seconds.
+MIN_DELAY_SECONDS = 0.005
+# Delay until a timer's function is called again after an error, seconds.
 RETRY_SECONDS = 0.25
-# Connections are checked for their age this often, seconds.
+# Interval of the check for timed-out connections, seconds.
 AGE_CHECK_SECONDS = 0.5
-# What has been sent and received is logged this often, seconds: for a look at
-# what a site's own messages cost.
+# Interval at which the traffic between processes is logged, seconds.
 TRAFFIC_LOG_SECONDS = 30.0
-# Kinds of message, by bytes, that this line names.
-KINDS_LOGGED = 6
+# Number of message kinds with the most bytes in the traffic log line.
+MAX_LOGGED_KINDS = 6
 
 
-class Alarm:
-    """Call a function at the next time at which it has something to do."""
+class WakeupTimer:
+    """One-shot timer that can be moved to an earlier time.
+
+    The function schedules its next call itself. If it raises an exception, it
+    is called again after RETRY_SECONDS.
+    """
 
     def __init__(self, *, host: "LoopHost", func: Callable[[], None]) -> None:
-        """Begin without a time; ``func`` sets the next one itself."""
+        """Create an unscheduled timer.
+
+        Args:
+            host: Source of time and delayed calls.
+            func: Function to call when the timer is due.
+        """
         self._host = host
         self._func = func
-        self._at = math.inf
+        self._due_at = math.inf
         self._handle: asyncio.TimerHandle | None = None
 
-    def set(self, at: float) -> None:
-        """Call at a time, or sooner if that was set before.
+    def schedule(self, at: float) -> None:
+        """Schedule the call; an earlier scheduled time stays.
 
         Args:
-            at: Monotonic seconds.
+            at: Due time in monotonic seconds.
         """
-        if at >= self._at:
+        if at >= self._due_at:
             return
         if self._handle is not None:
             self._handle.cancel()
-        self._at = at
-        delay_s = max(at - self._host.now(), LEAST_PAUSE_SECONDS)
-        self._handle = self._host.after(delay_s, self._run)
+        self._due_at = at
+        delay_s = max(at - self._host.now(), MIN_DELAY_SECONDS)
+        self._handle = self._host.call_later(delay_s, self._run)
 
     def _run(self) -> None:
-        self._at = math.inf
+        self._due_at = math.inf
         self._handle = None
         try:
             self._func()
         except Exception:
-            # It did not come to set its next time.
-            self.set(self._host.now() + RETRY_SECONDS)
+            # The function may have failed before it scheduled its next call.
+            self.schedule(self._host.now() + RETRY_SECONDS)
             raise
 
 
 class LoopHost:
-    """What every deployed process needs besides its own decisions.
+    """Runtime of a deployed process on one event loop.
 
-    Pykka's actors are threads; here one event loop does their part, since
-    one thread runs at a time on these VMs and each hand-over costs a wake.
+    An event loop replaces the actor threads of base.Host, because threads do
+    not run in parallel on these VMs and each switch costs a wake-up.
 
     Attributes:
         clock: Time source.
         rng: Random source.
-        link: Frames to and from our other processes.
-        metrics: Counters and histograms.
-        pages: Further pages at the address of the metrics, by path.
+        cfg: Settings of the process.
+        incarnation: Random odd number that identifies this start.
+        link: Connections to other Jasperweir processes.
+        metrics: Counters, gauges and histograms.
+        pages: Additional handlers on the metrics address, by path.
     """
 
     def __init__(
         self,
         *,
-        cfg: deployed.NodeSettings,
+        cfg: node_settings.NodeSettings,
         on_frame: Callable[[str, Any], None],
         level: str = "info",
     ) -> None:
@@ -102,7 +112,7 @@
         self._on_frame = on_frame
         self._loop: asyncio.AbstractEventLoop | None = None
         self._servers: list[http_server.Server] = []
-        self._checks_ages = False
+        self._age_check_scheduled = False
         self._timers_run = 0
         self.link = loop_link.LoopLink(
             name=cfg.internal,
@@ -121,15 +131,20 @@
     async def start(
         self, *, on_stop: Callable[[], None], on_reload: Callable[[], None]
     ) -> None:
-        """Start the link, the metrics page and the signal handlers."""
+        """Start the link, the metrics page and the signal handlers.
+
+        Args:
+            on_stop: Called on SIGTERM and SIGINT.
+            on_reload: Called on SIGHUP.
+        """
         self._loop = asyncio.get_running_loop()
         self._loop.add_signal_handler(signal.SIGTERM, on_stop)
         self._loop.add_signal_handler(signal.SIGINT, on_stop)
         self._loop.add_signal_handler(signal.SIGHUP, on_reload)
         self.link.start()
-        self._logs.on_first = self._flush_later
+        self._logs.on_first = self._schedule_flush
         self._flush_logs()
-        self.every(TRAFFIC_LOG_SECONDS, self._log_traffic)
+        self.call_every(TRAFFIC_LOG_SECONDS, self._log_traffic)
         await self.serve(self.cfg.metrics, self._on_metrics)
         _log.info(
             "started",
@@ -142,26 +157,26 @@
     async def serve(
         self, address: str, handler: http_server.Handler
     ) -> http_server.Server:
-        """Listen on an address."""
+        """Start an HTTP server on an address."""
         server = http_server.Server(address=address, handler=handler)
-        server.on_first = self._check_ages_later
+        server.on_first = self._schedule_age_check
         await server.start()
         self._servers.append(server)
         return server
 
-    def every(self, seconds: float, func: Callable[[], None]) -> None:
-        """Call a function again and again; its errors are logged."""
+    def call_every(self, seconds: float, func: Callable[[], None]) -> None:
+        """Call a function periodically; exceptions are logged."""
 
         def run() -> None:
-            self.after(seconds, run)
+            self.call_later(seconds, run)
             func()
 
-        self.after(seconds, run)
+        self.call_later(seconds, run)
 
-    def after(
+    def call_later(
         self, seconds: float, func: Callable[[], None]
     ) -> asyncio.TimerHandle:
-        """Call a function once; an error of it is logged."""
+        """Call a function once after a delay; an exception is logged."""
         assert self._loop is not None
 
         def run() -> None:
@@ -169,22 +184,22 @@
             try:
                 func()
             except Exception:  # noqa: BLE001
-                _log.exception("error in a timed task")
+                _log.exception("error in a timer callback")
                 self.metrics.inc("errors")
 
         return self._loop.call_later(seconds, run)
 
-    def alarm(self, func: Callable[[], None]) -> "Alarm":
-        """Return a timer for a function that is due at changing times."""
-        return Alarm(host=self, func=func)
+    def make_timer(self, func: Callable[[], None]) -> "WakeupTimer":
+        """Return a timer whose function schedules its own next call."""
+        return WakeupTimer(host=self, func=func)
 
     def send(self, act: core.Send) -> None:
-        """Send a message to a node, whose name is its address."""
+        """Send a message to a node; the node's name is its address."""
         self.link.learn(act.dst, act.dst)
         self.link.send(act.dst, act.msg)
 
     def stop(self) -> None:
-        """Close the link and write the last log lines."""
+        """Log the traffic, flush the log and stop the link."""
         self._log_traffic()
         _log.info("stopped")
         self._logs.flush()
@@ -200,77 +215,79 @@
         )
 
     def _bytes_by_kind(self) -> dict[str, int]:
-        """Return the bytes of the most costly kinds of message."""
+        """Return bytes by direction and kind, for the kinds with the most."""
         kinds = sorted(
             self.link.by_kind.items(), key=lambda item: -item[1].size
         )
         return {
-            f"{way} {kind}": seen.size
-            for (way, kind), seen in kinds[:KINDS_LOGGED]
+            f"{direction} {kind}": traffic.size
+            for (direction, kind), traffic in kinds[:MAX_LOGGED_KINDS]
         }
 
     def _receive(self, received: link_lib.Received) -> None:
         try:
             self._on_frame(received.env.src, received.msg)
         except Exception:  # noqa: BLE001
-            _log.exception("error on a frame", kind=received.env.kind)
+            _log.exception(
+                "error while a message was handled", kind=received.env.kind
+            )
             self.metrics.inc("errors")
 
-    def _check_ages_later(self) -> None:
-        """Look at the age of connections as long as there are any."""
-        if self._checks_ages or self._loop is None:
+    def _schedule_age_check(self) -> None:
+        """Schedule the next check of connections for timeouts."""
+        if self._age_check_scheduled or self._loop is None:
             return
-        self._checks_ages = True
+        self._age_check_scheduled = True
         self._loop.call_later(AGE_CHECK_SECONDS, self._check_ages)
 
     def _check_ages(self) -> None:
-        self._checks_ages = False
+        self._age_check_scheduled = False
         for server in self._servers:
             server.check_ages()
         if any(server.connections for server in self._servers):
-            self._check_ages_later()
+            self._schedule_age_check()
 
-    def _flush_later(self) -> None:
+    def _schedule_flush(self) -> None:
         assert self._loop is not None
         if not self._loop.is_closed():
             self._loop.call_later(LOG_FLUSH_SECONDS, self._flush_logs)
 
     def _flush_logs(self) -> None:
         if not self._logs.flush():
-            self._flush_later()
+            self._schedule_flush()
 
-    def _note_traffic(self) -> None:
+    def _export_link_metrics(self) -> None:
         """Copy the link's counters into the metrics."""
         for kind, count in self.link.counters.items():
             self.metrics.gauge("link_frames", float(count), kind=kind)
-        for (way, kind), seen in self.link.by_kind.items():
-            labels = {"way": way, "kind": kind}
-            self.metrics.gauge("link_kind_frames", seen.frames, **labels)
-            self.metrics.gauge("link_kind_bytes", seen.size, **labels)
+        for (direction, kind), traffic in self.link.by_kind.items():
+            labels = {"way": direction, "kind": kind}
+            self.metrics.gauge("link_kind_frames", traffic.frames, **labels)
+            self.metrics.gauge("link_kind_bytes", traffic.size, **labels)
 
     def _on_metrics(self, answering: http_server.Answering) -> None:
         page = self.pages.get(answering.request.path)
         if page is not None:
             page(answering)
             return
-        self._note_traffic()
+        self._export_link_metrics()
         headers = [(b"content-type", b"text/plain; version=0.0.4")]
         answering.reply(200, headers, self.metrics.render())
 
 
-class ElapsedLoop(asyncio.SelectorEventLoop):
-    """Event loop whose timers count suspensions of the VM.
+class SuspendAwareEventLoop(asyncio.SelectorEventLoop):
+    """Event loop whose timers include the time for which the VM is suspended.
 
-    The kernel's own waits do not: a timer that came due meanwhile runs when
-    the loop wakes next, which the shortest running timer decides.
+    The kernel's wait excludes it, so a timer that becomes due during a
+    suspension runs at the loop's next wake-up.
     """
 
     def time(self) -> float:
-        """Return the time by which timers are due, in seconds."""
+        """Return seconds, including suspensions of the VM."""
         return clocks.elapsed()
 
 
 def run(main: Callable[[], Coroutine[Any, Any, Any]]) -> Any:
-    """Run a process's coroutine on a loop that counts suspensions."""
-    with asyncio.Runner(loop_factory=ElapsedLoop) as runner:
+    """Run a coroutine on a SuspendAwareEventLoop and return its result."""
+    with asyncio.Runner(loop_factory=SuspendAwareEventLoop) as runner:
         return runner.run(main())
--- a/jasperweir/daemons/site_entry.py
+++ b/jasperweir/daemons/site_entry.py
@@ -1,4 +1,4 @@
-"""Deployed entry: callers' requests, address answers, readiness."""
+"""Deployed entry: callers' requests, address lookups and readiness."""
 
 import asyncio
 from typing import Any
@@ -7,7 +7,7 @@
 import zlib
 
 from jasperweir import core
-from jasperweir.components.address import entry_selection as near_lib
+from jasperweir.components.address import entry_selection
 from jasperweir.components.balance import budget as budget_lib
 from jasperweir.components.balance import const as balance_const
 from jasperweir.components.balance import messages as balance_messages
@@ -24,9 +24,9 @@
 from jasperweir.components.quarantine import const as quarantine_const
 from jasperweir.components.quarantine import messages as quarantine_messages
 from jasperweir.components.quarantine import spread as spread_lib
-from jasperweir.daemons import deployed
 from jasperweir.daemons import engine_client
 from jasperweir.daemons import loop_host
+from jasperweir.daemons import node_settings
 from jasperweir.daemons import quarantine_page
 from jasperweir.helpers import http_client
 from jasperweir.helpers import http_message
@@ -35,46 +35,59 @@
 
 _log = logs.logger("entry")
 
+# Interval of ticks while the forwarder has work, seconds.
 TICK_SECONDS = 0.02
-# While it stops, what is still open is looked at this often, seconds.
+# Interval of the check for open requests during a stop, seconds.
 STOP_TICK_SECONDS = 0.1
-TIDY_SECONDS = 0.5
-# Callers keep an address answer for this long, and some three times as long.
-ANSWER_KEPT_SECONDS = 0.5
-# An entry that stops serves those who still come for longer than any caller
-# keeps an answer that names it, seconds.
+# Interval at which the forwarder removes unused state, seconds.
+CLEANUP_SECONDS = 0.5
+# Time to live of an address lookup, seconds; some callers cache it three times
+# as long.
+ADDRESS_TTL_SECONDS = 0.5
+# Time for which a stopping entry accepts requests, longer than callers cache a
+# lookup that names it, seconds.
 STOP_SERVING_SECONDS = 4.5
-# It ends this long before it would be ended, seconds.
+# Time by which a stop ends before the forced termination, seconds.
 STOP_MARGIN_SECONDS = 0.6
 
 
 class Lookup(NamedTuple):
-    """A caller asks which addresses to use."""
+    """A caller's query for addresses of entries.
+
+    Attributes:
+        host: Name that the caller looks up.
+        place: Data centre of the caller.
+    """
 
     host: str
     place: str
 
 
 class EntryDialect(dialect_lib.Dialect, Protocol):
-    """Translate what callers and the platform say to an entry."""
+    """Translates the HTTP API of callers and of the platform."""
 
     def lookup(self, req: http_message.Request) -> Lookup | None:
-        """Read a question for addresses; None if it is something else."""
+        """Decode an address lookup, None if the request is not one."""
+
+    def addresses(self, addresses: list[str], ttl_s: float) -> bytes:
+        """Return the body of the response to an address lookup.
 
-    def addresses(self, found: list[str], kept_s: float) -> bytes:
-        """Return the body of an address answer."""
+        Args:
+            addresses: Addresses of entries.
+            ttl_s: Time for which the caller may cache them, seconds.
+        """
 
     def deployment(self, raw: bytes) -> model.Deployment:
-        """Read a configuration that a control VM has accepted."""
+        """Decode a configuration that a control VM accepted."""
 
 
 class SiteEntry:
-    """Drive a Forwarder and a Follower with sockets."""
+    """Connects a Forwarder and a DiscoveryClient to sockets and timers."""
 
     def __init__(
         self,
         *,
-        cfg: deployed.NodeSettings,
+        cfg: node_settings.NodeSettings,
         dialect: EntryDialect,
         engines: engine_client.EngineDialect,
     ) -> None:
@@ -113,76 +126,78 @@
             times=http_client.ClientTimes(),
             metrics=self._host.metrics,
         )
-        self._share_due = False
-        self._forwarder.balancer.on_change = self._on_load_change
+        self._share_scheduled = False
+        self._forwarder.balancer.on_change = self._schedule_share
         self._forwarder.is_certain = self._is_certain
-        self._forwarder.outcomes.on_replaced = self._on_replaced
-        self._forwarder.outcomes.on_draining = self._on_leaving
-        self._forwarder.on_work = self._tick_soon
-        self._forwarder.crash_detector.on_marks = self._on_marks
+        self._forwarder.outcomes.on_replaced = self._on_target_replaced
+        self._forwarder.outcomes.on_draining = self._on_target_draining
+        self._forwarder.on_work = self._schedule_tick
+        self._forwarder.crash_detector.on_marks = self._broadcast_marks
         ledger = self._forwarder.crash_detector.ledger
-        self._spread = spread_lib.EntrySpread(ledger=ledger)
+        self._mark_replication = spread_lib.EntrySpread(ledger=ledger)
         page = quarantine_page.QuarantinePage(
-            ledger=ledger, now=self._host.now, on_lifted=self._on_marks
+            ledger=ledger, now=self._host.now, on_lifted=self._broadcast_marks
         )
         self._host.pages[quarantine_page.PATH] = page.handle
-        self._tick_due = False
-        self._follow_alarm = self._host.alarm(self._follow)
+        self._tick_scheduled = False
+        self._discovery_timer = self._host.make_timer(self._tick_discovery)
         self._server: http_server.Server | None = None
-        self._stopping_at = 0.0
-        self._ended = asyncio.Event()
+        self._stop_requested_at = 0.0
+        self._stopped = asyncio.Event()
 
     async def run(self) -> None:
-        """Serve until told to stop."""
+        """Serve until a stop signal."""
         await self._host.start(on_stop=self._on_stop, on_reload=self._on_reload)
         self._server = await self._host.serve(
             self._cfg.callers, self._forwarder.handle
         )
         await self._host.serve(self._cfg.ready, self._on_ready_check)
         await self._host.serve(self._cfg.lookup, self._on_lookup)
-        self._follow()
-        self._host.every(balance_const.SHARE_SECONDS, self._share_all)
-        self._host.every(quarantine_const.COMPARE_SECONDS, self._compare_marks)
-        self._host.every(TIDY_SECONDS, self._forwarder.tidy)
-        await self._ended.wait()
+        self._tick_discovery()
+        self._host.call_every(balance_const.SHARE_SECONDS, self._update_entries)
+        self._host.call_every(
+            quarantine_const.COMPARE_SECONDS, self._compare_marks
+        )
+        self._host.call_every(CLEANUP_SECONDS, self._forwarder.tidy)
+        await self._stopped.wait()
         await asyncio.sleep(0.05)
         self._host.stop()
 
-    def _tick_soon(self) -> None:
-        """Tick as long as there is something to do.
+    def _schedule_tick(self) -> None:
+        """Schedule a tick unless one is scheduled.
 
-        An entry of a large site carries two or three streams: ticking all the
-        time would be most of its wake-ups.
+        Ticks run only while there is work, since constant ticks would be most
+        of the wake-ups of an entry with few streams.
         """
-        if self._tick_due:
+        if self._tick_scheduled:
             return
-        self._tick_due = True
-        self._host.after(TICK_SECONDS, self._tick)
+        self._tick_scheduled = True
+        self._host.call_later(TICK_SECONDS, self._tick)
 
     def _tick(self) -> None:
-        self._tick_due = False
+        self._tick_scheduled = False
         self._forwarder.tick()
         if self._forwarder.has_work:
-            self._tick_soon()
+            self._schedule_tick()
 
-    # Following control.
+    # Discovery.
 
-    def _follow(self) -> None:
+    def _tick_discovery(self) -> None:
         now = self._host.now()
         self._perform(self._discovery.tick(now))
-        self._follow_alarm.set(self._discovery.next_tick(now))
-        if self._stopping_at:
-            self._follow_alarm.set(now + STOP_TICK_SECONDS)
-            self._drive_stop(now)
+        self._discovery_timer.schedule(self._discovery.next_tick(now))
+        if self._stop_requested_at:
+            self._discovery_timer.schedule(now + STOP_TICK_SECONDS)
+            self._advance_stop(now)
             return
         if not self._discovery.node.open:
-            # What targets must be kept from is known before callers come.
+            # Quarantine marks are fetched before the entry accepts callers.
             self._compare_marks()
         is_open = self._forwarder.index is not None
         is_open = is_open and self._discovery.is_ready(now)
         if is_open and not self._discovery.node.open:
             _log.info("ready", version=self._discovery.version)
-            self._share_all()
+            self._update_entries()
         self._perform(self._discovery.set_open(is_open=is_open, now=now))
 
     def _on_frame(self, src: str, msg: Any) -> None:
@@ -195,21 +210,21 @@
                 self._engines.submit(src, msg)
                 return
             case quarantine_messages.Marks() | quarantine_messages.Compare():
-                self._send_all(self._spread.receive(src, msg, now))
+                self._send_all(self._mark_replication.receive(src, msg, now))
                 self._forwarder.reject_quarantined(now)
                 return
             case mapswitch_messages.SlowTargets():
-                paces = {t.address: t.pace for t in msg.targets}
-                self._forwarder.update_slowdowns(paces, now)
+                slowdowns = {t.address: t.pace for t in msg.targets}
+                self._forwarder.update_slowdowns(slowdowns, now)
                 return
         self._perform(self._discovery.receive(src, msg, now))
-        if not self._discovery.node.open and not self._stopping_at:
-            # What has come may be what it waited for.
-            self._follow()
-        self._follow_alarm.set(self._discovery.next_tick(now))
+        if not self._discovery.node.open and not self._stop_requested_at:
+            # The message may complete what the entry needs to open.
+            self._tick_discovery()
+        self._discovery_timer.schedule(self._discovery.next_tick(now))
 
-    def _on_marks(self, marks: crash_detector.Marks) -> None:
-        """Tell the other processes under which requests targets ended."""
+    def _broadcast_marks(self, marks: crash_detector.Marks) -> None:
+        """Send marks of crash-related requests to entries and control VMs."""
         now = self._host.now()
         names = [node.name for node in self._forwarder.neighbours.peers]
         names += self._discovery.reachable_controls(now)
@@ -224,7 +239,9 @@
             "requests_held", float(len(ledger.list_quarantined(now)))
         )
         self._send_all(
-            self._spread.compare(self._discovery.reachable_controls(now))
+            self._mark_replication.compare(
+                self._discovery.reachable_controls(now)
+            )
         )
 
     def _send_all(self, sends: list[core.Send]) -> None:
@@ -237,9 +254,11 @@
                 case core.Send():
                     self._host.send(act)
                 case discovery_client.ApplyConfiguration():
-                    self._put_in_force(act)
+                    self._apply_configuration(act)
 
-    def _put_in_force(self, act: discovery_client.ApplyConfiguration) -> None:
+    def _apply_configuration(
+        self, act: discovery_client.ApplyConfiguration
+    ) -> None:
         deployment = self._dialect.deployment(zlib.decompress(act.data))
         index = index_lib.DeploymentIndex(deployment=deployment)
         self._forwarder.index = index
@@ -252,96 +271,100 @@
     def _is_certain(self) -> bool:
         return self._discovery.is_version_confirmed(self._host.now())
 
-    def _on_replaced(self, target: records.Target) -> None:
+    def _on_target_replaced(self, target: records.Target) -> None:
         _log.info("target replaced", target=target.target_id)
         now = self._host.now()
         self._perform(self._discovery.announce_target_gone(target, now))
 
-    def _on_leaving(self, target: records.Target) -> None:
-        """Tell the other entries of a target that says it leaves."""
+    def _on_target_draining(self, target: records.Target) -> None:
+        """Announce a draining target to the control VMs."""
         self._perform(
             self._discovery.announce_target_leaving(target, self._host.now())
         )
 
-    def _on_load_change(self) -> None:
-        if self._share_due:
+    def _schedule_share(self) -> None:
+        if self._share_scheduled:
             return
-        self._share_due = True
+        self._share_scheduled = True
         loop = asyncio.get_running_loop()
-        loop.call_later(balance_const.SHARE_DELAY_SECONDS, self._share)
+        loop.call_later(balance_const.SHARE_DELAY_SECONDS, self._send_share)
 
-    def _share_all(self) -> None:
-        """Look who the other entries are, and tell them in any case."""
+    def _update_entries(self) -> None:
+        """Update the list of entries and send them this entry's load."""
         entries = self._discovery.open_entries(self._host.now())
         self._forwarder.on_entries(entries)
-        self._share()
+        self._send_share()
 
-    def _share(self) -> None:
-        self._share_due = False
+    def _send_share(self) -> None:
+        self._share_scheduled = False
         share = self._forwarder.share()
         for node in self._forwarder.neighbours.peers:
             self._host.send(core.Send(dst=node.name, msg=share))
 
-    # Planned stop.
+    # Graceful stop.
 
     def _on_stop(self) -> None:
-        if self._stopping_at:
+        if self._stop_requested_at:
             return
-        self._stopping_at = self._host.now()
+        self._stop_requested_at = self._host.now()
         _log.info("stop asked for", open=self._forwarder.open_count)
         if self._server is not None:
             self._server.stopping = True
         self._perform(
-            self._discovery.set_open(is_open=False, now=self._stopping_at)
+            self._discovery.set_open(is_open=False, now=self._stop_requested_at)
+        )
+        self._discovery_timer.schedule(
+            self._stop_requested_at + STOP_TICK_SECONDS
         )
-        self._follow_alarm.set(self._stopping_at + STOP_TICK_SECONDS)
 
     def _on_reload(self) -> None:
-        _log.info("reload asked for: seeds are read at the start only")
+        _log.info("reload ignored: seeds are read only at startup")
 
-    def _drive_stop(self, now: float) -> None:
-        since = now - self._stopping_at
-        if since < STOP_SERVING_SECONDS:
+    def _advance_stop(self, now: float) -> None:
+        elapsed_s = now - self._stop_requested_at
+        if elapsed_s < STOP_SERVING_SECONDS:
             return
         self._forwarder.stop()
-        last = self._cfg.bounds.grace_s - STOP_MARGIN_SECONDS
-        if self._forwarder.open_count and since < last:
+        max_stop_s = self._cfg.bounds.grace_s - STOP_MARGIN_SECONDS
+        if self._forwarder.open_count and elapsed_s < max_stop_s:
             return
         if self._server is not None:
             self._server.close_listener()
             self._server.close_idle()
-        self._ended.set()
+        self._stopped.set()
 
-    # Questions of the platform and of callers.
+    # Readiness checks and address lookups.
 
     def _on_ready_check(self, answering: http_server.Answering) -> None:
-        ready = self._discovery.node.open and not self._stopping_at
+        ready = self._discovery.node.open and not self._stop_requested_at
         answering.reply(200 if ready else 503, [], b"")
 
     def _on_lookup(self, answering: http_server.Answering) -> None:
-        asked = self._dialect.lookup(answering.request)
-        if asked is None:
+        lookup = self._dialect.lookup(answering.request)
+        if lookup is None:
             answering.reply(404, [], b"")
             return
         entries = self._discovery.open_entries(self._host.now())
-        found = near_lib.choose_addresses(entries, asked.place, self._host.rng)
-        if not found:
+        addresses = entry_selection.choose_addresses(
+            entries, lookup.place, self._host.rng
+        )
+        if not addresses:
             self._host.metrics.inc("lookups", outcome="none")
             answering.reply(503, [(b"retry-after", b"1")], b"")
             return
         self._host.metrics.inc("lookups", outcome="answered")
-        body = self._dialect.addresses(found, ANSWER_KEPT_SECONDS)
+        body = self._dialect.addresses(addresses, ADDRESS_TTL_SECONDS)
         headers = [(b"content-type", b"application/json")]
         answering.reply(200, headers, body)
 
 
 def run(
     *,
-    cfg: deployed.NodeSettings,
+    cfg: node_settings.NodeSettings,
     dialect: EntryDialect,
     engines: engine_client.EngineDialect,
 ) -> None:
-    """Run an entry until it is stopped."""
+    """Run an entry until a stop signal."""
 
     async def main() -> None:
         await SiteEntry(cfg=cfg, dialect=dialect, engines=engines).run()
--- a/script/guards.py
+++ b/script/guards.py
@@ -304,8 +304,8 @@
           "if now - peer.received_at >= const.SHARE_STALE_SECONDS:\n"
           "                self.remove_peer(src)",
           "if False:\n                self.remove_peer(src)", "large"),
-    Guard("an alarm outlives an error", "jasperweir/daemons/loop_host.py",
-          "self.set(self._host.now() + RETRY_SECONDS)", "pass", "large"),
+    Guard("a timer outlives an error", "jasperweir/daemons/loop_host.py",
+          "self.schedule(self._host.now() + RETRY_SECONDS)", "pass", "large"),
     Guard("an earlier start changes nothing", C + "directory/directory.py",
           "                # A delayed announcement of an earlier start.\n"
           "                return False", "                pass",
