--- a/features/outcomes.feature
+++ b/features/outcomes.feature
@@ -1,6 +1,6 @@
-Feature: What became of requests is told from the logs alone
+Feature: Report on the outcomes of requests from the logs
 
-  Scenario Outline: An ended request counts by what its caller got
+  Scenario Outline: A finished request is counted by its outcome for the caller
     When the log has a request that ended "<outcome>" with <first> ms to its first byte and pauses of <gap> ms
     Then the report counts it as <counted>
 
@@ -16,18 +16,18 @@
       | targets_refused             | -1    | 0   | refused |
       | caller gone                 | 300   | 90  | left    |
 
-  Scenario: The worst window stands first, with what changed in it
-    Given a log with a good window and one in which a leader was lost
+  Scenario: The worst window is listed first with its state changes
+    Given a log with a good window and a window with a leader change
     Then the worst window begins at 12 s
     And it names "role changed follower" and "send failed status 503"
 
-  Scenario: Lines that say nothing to the report are passed over
-    Given a log with a torn line, a line of another program and a blank one
+  Scenario: Lines that the report does not use are skipped
+    Given a log with a truncated line, a line of another program and a blank line
     Then the report counts no request
 
-  Scenario: Callers that came back are counted apart
-    When the log has a request of a caller that came back
-    Then the report counts 1 request of callers that came back
+  Scenario: Retries after a rejection are counted separately
+    When the log has a request retried after a rejection
+    Then the report counts 1 retried request
 
   Scenario: The command prints the report
     When "report requests" is run on a log with 3 served and 2 refused requests
--- a/features/parts.feature
+++ b/features/parts.feature
@@ -1,23 +1,23 @@
-Feature: Smaller parts keep their word
+Feature: Checks of small components
 
-  Scenario Outline: Part
+  Scenario Outline: Component rule
     Then this holds: <rule>
 
     Examples:
-      | rule                                                    |
-      | an agent without a floor passes no order                |
-      | an order with an old fencing number is stopped          |
-      | orders follow the newest bundle, superseded ones vanish |
-      | several readers get one answer from any offset          |
-      | frames that are damaged, foreign or large are refused   |
-      | services find each other by name                        |
-      | burn is bad answers over what is allowed                |
-      | the burn report merges entries and names causes         |
-      | every result code has its row in the docs               |
-      | a popularity gap changes nothing and a jump is adopted  |
-      | the beat follows the number of nodes                    |
-      | bad header values are refused by number                 |
-      | of two failed tries the one that may have run is told   |
-      | the second of two tries wins if it answers first        |
-      | a rejected resend is not told that nothing ran          |
-      | a request without a key may not reach unsafe services   |
+      | rule                                                          |
+      | an agent without a confirmed fence rejects every order        |
+      | an order with an old fencing number is rejected               |
+      | orders follow the newest bundle, superseded ones are not sent |
+      | several readers read one response from any offset             |
+      | corrupt, unknown and oversized frames are rejected            |
+      | services are found by name and stopped in reverse order       |
+      | the burn rate is the share of bad responses over the budget   |
+      | the burn report merges entries and lists causes               |
+      | every result code is documented                               |
+      | missing expert counts change nothing and a jump is adopted    |
+      | the heartbeat interval follows the acknowledgements           |
+      | invalid header values get their result code                   |
+      | of two failed attempts the one that may have run is reported  |
+      | the second of two attempts wins if it responds first          |
+      | a rejected resend is not reported as not run                  |
+      | an unsafe service requires an idempotency key                 |
--- a/features/steps/outcomes_steps.py
+++ b/features/steps/outcomes_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the report on requests."""
+"""Steps for the request report."""
 
 import contextlib
 import io
@@ -13,7 +13,9 @@
 from jasperweir.components.outcomes import summary as summary_lib
 
 
-def ended(outcome="answered 200", at=10.0, first_ms=300, gap_ms=90, used_ms=0):
+def request_line(
+    outcome="answered 200", at=10.0, first_ms=300, gap_ms=90, used_ms=0
+):
     return json.dumps(
         {
             "at": at, "event": "request ended", "route": "r",
@@ -23,7 +25,7 @@
     )  # fmt: skip
 
 
-def line(at, event, **fields):
+def change_line(at, event, **fields):
     return json.dumps({"at": at, "node": "vm-1", "event": event, **fields})
 
 
@@ -33,7 +35,7 @@
 )
 def step_ended(context, outcome, first, gap):
     context.summary = summary_lib.Summary()
-    context.summary.add([ended(outcome, first_ms=first, gap_ms=gap)])
+    context.summary.add([request_line(outcome, first_ms=first, gap_ms=gap)])
 
 
 @then("the report counts it as {counted}")
@@ -42,17 +44,17 @@
     assert counts == {lines.Outcome(counted): 1}, counts
 
 
-@given("a log with a good window and one in which a leader was lost")
+@given("a log with a good window and a window with a leader change")
 def step_windows(context):
     context.summary = summary_lib.Summary(window_s=2.0)
     context.summary.add(
         [
-            "  10.100 vm-1 " + ended(at=4.1),
-            ended(at=11.9),
-            line(12.5, "role changed", is_now="follower"),
-            line(12.6, "send failed", reason="status 503"),
-            ended(at=12.7),
-            ended("targets_refused", at=13.9),
+            "  10.100 vm-1 " + request_line(at=4.1),
+            request_line(at=11.9),
+            change_line(12.5, "role changed", is_now="follower"),
+            change_line(12.6, "send failed", reason="status 503"),
+            request_line(at=12.7),
+            request_line("targets_refused", at=13.9),
         ]
     )
 
@@ -63,36 +65,46 @@
 
 
 @then('it names "{one}" and "{other}"')
-def step_names(context, one, other):
+def step_state_changes(context, one, other):
     assert set(context.summary.worst()[0].changes) == {one, other}
 
 
-@given("a log with a torn line, a line of another program and a blank one")
-def step_torn(context):
+@given(
+    "a log with a truncated line, a line of another program and a blank line"
+)
+def step_unused_lines(context):
     context.summary = summary_lib.Summary()
-    context.summary.add([ended()[:-9], "listening on 80", "", "{}", "[1]"])
+    context.summary.add(
+        [
+            request_line()[:-9],
+            "listening on 80",
+            "",
+            "{}",
+            "[1]",
+        ]
+    )
 
 
 @then("the report counts no request")
-def step_none(context):
+def step_no_request(context):
     assert not context.summary.routes
 
 
-@when("the log has a request of a caller that came back")
-def step_return(context):
+@when("the log has a request retried after a rejection")
+def step_retry(context):
     context.summary = summary_lib.Summary()
-    context.summary.add([ended(used_ms=2600), ended()])
+    context.summary.add([request_line(used_ms=2600), request_line()])
 
 
-@then("the report counts 1 request of callers that came back")
-def step_one_return(context):
+@then("the report counts 1 retried request")
+def step_one_retry(context):
     assert context.summary.returns.total() == 1
 
 
 @when('"report requests" is run on a log with 3 served and 2 refused requests')
 def step_run(context):
     path = f"{context.folder}/entry.log"
-    texts = [ended()] * 3 + [ended("overloaded", first_ms=-1)] * 2
+    texts = [request_line()] * 3 + [request_line("overloaded", first_ms=-1)] * 2
     with open(path, "w", encoding="utf-8") as log:
         log.write("\n".join(texts))
     out = io.StringIO()
@@ -109,5 +121,5 @@
 
 
 @then('it names "overloaded" with 2')
-def step_named(context):
+def step_outcome_count(context):
     assert ["2", "overloaded"] in [x.split() for x in context.page]
--- a/features/steps/parts_steps.py
+++ b/features/steps/parts_steps.py
@@ -1,4 +1,4 @@
-"""Steps on smaller parts."""
+"""Steps that check rules of small components."""
 
 import pathlib
 import random
@@ -10,7 +10,7 @@
 from jasperweir import core
 from jasperweir import exceptions
 from jasperweir import result_codes
-from jasperweir.components.agent import buffer as buffer_lib
+from jasperweir.components.agent import response_buffer
 from jasperweir.components.bundle import model
 from jasperweir.components.burn import report
 from jasperweir.components.burn import windows
@@ -29,41 +29,41 @@
 Code = result_codes.Code
 
 
-def no_floor():
-    gate = orders.Gate()
-    assert not gate.passes(orders.Order(99, "load_adapter", "fr"))
-    gate.learn(50)
-    assert gate.passes(orders.Order(99, "load_adapter", "fr"))
+def check_unconfirmed_fence():
+    gate = orders.FencingGate()
+    assert not gate.admit(orders.Order(99, "load_adapter", "fr"))
+    gate.raise_fence(50)
+    assert gate.admit(orders.Order(99, "load_adapter", "fr"))
 
 
-def old_fence():
-    gate = orders.Gate()
-    gate.learn(50)
-    assert gate.passes(orders.Order(60, "load_adapter", "fr"))
-    assert not gate.passes(orders.Order(59, "load_adapter", "fr"))
-    assert not gate.passes(orders.Order(49, "load_adapter", "fr"))
-    assert gate.refused == 2
+def check_old_fence():
+    gate = orders.FencingGate()
+    gate.raise_fence(50)
+    assert gate.admit(orders.Order(60, "load_adapter", "fr"))
+    assert not gate.admit(orders.Order(59, "load_adapter", "fr"))
+    assert not gate.admit(orders.Order(49, "load_adapter", "fr"))
+    assert gate.refused_count == 2
 
 
-def newest_orders():
+def check_newest_orders():
     content = model.read(ROOT / "examples" / "souss.ini")
     plan = orders.Planner(service="weir-assist", role="both")
-    has = orders.Reported(frozenset({"old"}), "decode", 0)
-    due = plan.orders(model.typed(content), 7, has, 0.0)
+    has = orders.EngineState(frozenset({"old"}), "decode", 0)
+    due = plan.plan(model.typed(content), 7, has, 0.0)
     assert [(o.op, o.name, o.fence) for o in due] == [
         ("load_adapter", "ar", 7),
         ("load_adapter", "fr", 7),
         ("unload_adapter", "old", 7),
         ("set_role", "both", 7),
     ]
-    assert plan.orders(model.typed(content), 7, has, 0.1) == []
+    assert plan.plan(model.typed(content), 7, has, 0.1) == []
     content["service weir-assist\x1fadapters"] = "fr"
-    due = plan.orders(model.typed(content), 9, has, 5.0)
+    due = plan.plan(model.typed(content), 9, has, 5.0)
     assert ("load_adapter", "ar", 9) not in due
 
 
-def readers():
-    buf = buffer_lib.Buffer()
+def check_concurrent_readers():
+    buf = response_buffer.ResponseBuffer()
     found = {}
 
     def read(offset):
@@ -72,7 +72,7 @@
     threads = [threading.Thread(target=read, args=(i,)) for i in (0, 3, 7)]
     for thread in threads:
         thread.start()
-    buf.head(200, "text/plain")
+    buf.set_head(200, "text/plain")
     for chunk in (b"abcd", b"efgh", b"ij"):
         buf.append(chunk)
     buf.end(whole=True)
@@ -81,7 +81,7 @@
     assert found == {0: b"abcdefghij", 3: b"defghij", 7: b"hij"}, found
 
 
-def refused_frame(data):
+def is_rejected(data):
     try:
         codec.decode(data)
     except exceptions.FrameError:
@@ -89,7 +89,7 @@
     return False
 
 
-def frames():
+def check_frame_rejection():
     good = codec.encode(
         control_messages.FloorAsk(nonce=1),
         src="a", src_inc=1, src_addr="x", dst="b",
@@ -98,7 +98,7 @@
     assert env.src == "a" and msg.nonce == 1
     rng = random.Random(1)
     for size in range(len(good)):
-        assert refused_frame(good[:size])
+        assert is_rejected(good[:size])
     for _ in range(2000):
         damaged = bytearray(good)
         damaged[rng.randrange(len(good))] ^= 1 << rng.randrange(8)
@@ -106,15 +106,13 @@
             codec.decode(bytes(damaged))
         except exceptions.FrameError:
             continue
-    assert refused_frame(b"\x00" * (codec.MAX_FRAME_BYTES + 1))
-    assert refused_frame(
-        good.replace(b"control.floor_ask", b"control.floor_axx")
-    )
-    assert refused_frame(b"\x98\x09" + good[2:])
+    assert is_rejected(b"\x00" * (codec.MAX_FRAME_BYTES + 1))
+    assert is_rejected(good.replace(b"control.floor_ask", b"control.floor_axx"))
+    assert is_rejected(b"\x98\x09" + good[2:])
 
 
 class Recorder:
-    """Service that notes when it is started and stopped."""
+    """Service that records its starts and stops."""
 
     def __init__(self, log, name):
         self.log, self.name = log, name
@@ -126,7 +124,7 @@
         self.log.append(f"stop {self.name}")
 
 
-def kernel():
+def check_kernel():
     log = []
     found = core.Kernel(clock=core.ManualClock(), seed=1)
     for name in ("one", "two"):
@@ -145,17 +143,17 @@
                    "stop one"], log  # fmt: skip
 
 
-def burn_rate():
+def check_burn_rate():
     counts = windows.Windows()
     for i in range(100):
         verdict = "failed" if i < 20 else "good"
         counts.add("s", "c", verdict, 1000.0)
-    assert abs(counts.burn({"s": 0.95}, 1000.0) - 4.0) < 1e-9
-    # Ten minutes later the shortest window is clean again.
-    assert counts.burn({"s": 0.95}, 1600.0) == 0.0
+    assert abs(counts.worst_burn_rate({"s": 0.95}, 1000.0) - 4.0) < 1e-9
+    # Ten minutes later the shortest window has no bad responses.
+    assert counts.worst_burn_rate({"s": 0.95}, 1600.0) == 0.0
 
 
-def burn_report():
+def check_burn_report():
     answers = []
     for node in ("e1", "e2"):
         counts = windows.Windows()
@@ -175,7 +173,7 @@
     assert "<svg" in report.as_page(lines)
 
 
-def codes_documented():
+def check_codes_documented():
     text = (ROOT / "docs" / "RESULT_CODES.md").read_text(encoding="utf-8")
     for code, row in result_codes.TABLE.items():
         line = f"| {int(code)} | {code.name.lower()} | {row.http} |"
@@ -183,7 +181,7 @@
     assert set(result_codes.TABLE) == set(Code)
 
 
-def popular():
+def check_popularity():
     found = popularity.Popularity(layers=2, experts=4)
     counts = np.array([[400.0, 300, 200, 100]] * 2) * 100
     found.observe(counts)
@@ -196,7 +194,7 @@
     assert found.jumps == 2
 
 
-def beats():
+def check_heartbeat_interval():
     client = control_client.Client(voters=("c1", "c2"), rng=random.Random(1))
     fields = {"inc": 1, "place": "p", "revision": 1, "ready_epoch": 1,
               "burn": 0.0}  # fmt: skip
@@ -209,7 +207,7 @@
 
     (_, first), *_ = beat(1.2)
     assert client.on_ack(ack(first.beat_id, 5.0), 1.3) == (4, 1.2)
-    # The leader was not known before: it is asked at once.
+    # The leader was unknown before, so its heartbeat is sent at once.
     ((dst, second),) = beat(1.4)
     assert dst == "c2"
     client.on_ack(ack(second.beat_id, 17.0), 1.5)
@@ -220,7 +218,7 @@
     assert client.on_ack(ack(999, 5.0), 25.0) is None
 
 
-def bundle():
+def load_bundle():
     return model.typed(model.read(ROOT / "examples" / "souss.ini"))
 
 
@@ -228,11 +226,11 @@
     text = body or b'{"model": "weir-assist", "messages": []}'
     names = {k.replace("_", "-"): v for k, v in headers.items()}
     req = web.Req(method, path, {}, names, text)
-    found = request_lib.parse(req, bundle())
+    found = request_lib.parse(req, load_bundle())
     return found.value_or(None) or found.failure()
 
 
-def bad_headers():
+def check_invalid_headers():
     for headers, code in (
         ({"jasperweir_deadline": "nan"}, Code.BAD_DEADLINE),
         ({"jasperweir_deadline": "0"}, Code.BAD_DEADLINE),
@@ -247,7 +245,7 @@
     assert parse(body=wrong).code == Code.UNKNOWN_SERVICE
 
 
-def unsafe_needs_key():
+def check_key_required():
     path = "/svc/slot-api/book"
     assert parse(path).code == Code.KEY_MISSING
     assert parse(path, method="GET").keyed is False
@@ -255,8 +253,8 @@
     assert keyed.keyed and keyed.is_first_try and keyed.key.endswith("\x1fk")
 
 
-def raced(first, second):
-    """Race two results; the first waits until the second has answered."""
+def race_results(first, second):
+    """Race two attempts; the first waits until the second has finished."""
     answered = threading.Event()
 
     def slow():
@@ -270,55 +268,72 @@
     return hedge.race(slow, lambda: quick, delay=0.01)
 
 
-def both_failed():
+def check_both_failed():
     ran = events.Broke(relayed=0)
     refused = events.Refused(reason="full")
-    assert raced(refused, ran).result == ran
-    assert raced(ran, refused).result == ran
-    assert raced(refused, events.Unsent()).result in (refused, events.Unsent())
+    assert race_results(refused, ran).result == ran
+    assert race_results(ran, refused).result == ran
+    assert race_results(refused, events.Unsent()).result in (
+        refused,
+        events.Unsent(),
+    )
 
 
-def second_wins():
+def check_second_wins():
     stream = agent_client.Stream(200, "", iter(()), lambda: None)
-    found = raced(events.Broke(relayed=0), stream)
+    found = race_results(events.Broke(relayed=0), stream)
     assert found.second and found.result is stream
     found = hedge.race(lambda: stream, lambda: None, delay=10)
     assert not found.second and found.result is stream
 
 
-def rejected_resend():
-    def told(**headers):
+def check_rejected_resend():
+    def is_vouched(**headers):
         names = {k.replace("_", "-"): v for k, v in headers.items()}
         return request_lib.vouched(web.Req("POST", "/", {}, names, b""))
 
-    assert told()
-    assert not told(idempotency_key="k")
-    assert not told(idempotency_key="k", jasperweir_attempt="2")
-    assert told(idempotency_key="k", jasperweir_attempt="1")
+    assert is_vouched()
+    assert not is_vouched(idempotency_key="k")
+    assert not is_vouched(idempotency_key="k", jasperweir_attempt="2")
+    assert is_vouched(idempotency_key="k", jasperweir_attempt="1")
     resp = web.code_resp(Code.UNKNOWN_SERVICE, vouched=False)
     assert dict(resp.headers)["Jasperweir-Outcome"] == "unknown"
 
 
 RULES = {
-    "a rejected resend is not told that nothing ran": rejected_resend,
-    "of two failed tries the one that may have run is told": both_failed,
-    "the second of two tries wins if it answers first": second_wins,
-    "an agent without a floor passes no order": no_floor,
-    "an order with an old fencing number is stopped": old_fence,
-    "orders follow the newest bundle, superseded ones vanish": newest_orders,
-    "several readers get one answer from any offset": readers,
-    "frames that are damaged, foreign or large are refused": frames,
-    "services find each other by name": kernel,
-    "burn is bad answers over what is allowed": burn_rate,
-    "the burn report merges entries and names causes": burn_report,
-    "every result code has its row in the docs": codes_documented,
-    "a popularity gap changes nothing and a jump is adopted": popular,
-    "the beat follows the number of nodes": beats,
-    "bad header values are refused by number": bad_headers,
-    "a request without a key may not reach unsafe services": unsafe_needs_key,
+    "a rejected resend is not reported as not run": check_rejected_resend,
+    "of two failed attempts the one that may have run is reported": (
+        check_both_failed
+    ),
+    "the second of two attempts wins if it responds first": check_second_wins,
+    "an agent without a confirmed fence rejects every order": (
+        check_unconfirmed_fence
+    ),
+    "an order with an old fencing number is rejected": check_old_fence,
+    "orders follow the newest bundle, superseded ones are not sent": (
+        check_newest_orders
+    ),
+    "several readers read one response from any offset": (
+        check_concurrent_readers
+    ),
+    "corrupt, unknown and oversized frames are rejected": check_frame_rejection,
+    "services are found by name and stopped in reverse order": check_kernel,
+    "the burn rate is the share of bad responses over the budget": (
+        check_burn_rate
+    ),
+    "the burn report merges entries and lists causes": check_burn_report,
+    "every result code is documented": check_codes_documented,
+    "missing expert counts change nothing and a jump is adopted": (
+        check_popularity
+    ),
+    "the heartbeat interval follows the acknowledgements": (
+        check_heartbeat_interval
+    ),
+    "invalid header values get their result code": check_invalid_headers,
+    "an unsafe service requires an idempotency key": check_key_required,
 }
 
 
 @then("this holds: {rule}")
-def part(context, rule):
+def step_rule(context, rule):
     RULES[rule]()
--- a/features/steps/quarantine_ledger_steps.py
+++ b/features/steps/quarantine_ledger_steps.py
@@ -13,7 +13,7 @@
 from features.harness import quarantine
 from jasperweir import exceptions
 from jasperweir import result_codes
-from jasperweir.components.agent import ends as ends_lib
+from jasperweir.components.agent import crash_counter
 from jasperweir.components.limits import retry
 from jasperweir.components.quarantine import const
 from jasperweir.components.quarantine import ledger as ledger_lib
@@ -211,28 +211,30 @@
 @given("an agent whose engine ends, comes back and ends again")
 def step_agent(context):
     context.listening = True
-    context.agent_ends = ends_lib.EngineEnds(listens=lambda: context.listening)
+    context.crash_counter = crash_counter.CrashCounter(
+        is_listening=lambda: context.listening
+    )
 
 
 @then("two runs that the first end broke are told number 1")
 def step_first_end(context):
     context.listening = False
-    numbers = [context.agent_ends.after_break() for _ in range(2)]
+    numbers = [context.crash_counter.detect_crash() for _ in range(2)]
     assert numbers == [1, 1], numbers
 
 
 @then("a run that the second end broke is told number 2")
 def step_second_end(context):
     context.listening = True
-    context.agent_ends.answered()
+    context.crash_counter.record_answer()
     context.listening = False
-    assert context.agent_ends.after_break() == 2
+    assert context.crash_counter.detect_crash() == 2
 
 
 @then("a run whose answer was cut while the engine listens is told number 0")
 def step_listens(context):
     context.listening = True
-    assert context.agent_ends.after_break() == 0
+    assert context.crash_counter.detect_crash() == 0
 
 
 def own_life():
--- a/jasperweir/components/agent/__init__.py
+++ b/jasperweir/components/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent: the only door to a target."""
+"""Agent that runs requests on its target and reports its state."""
--- a/jasperweir/components/agent/engine.py
+++ b/jasperweir/components/agent/engine.py
@@ -1,4 +1,4 @@
-"""Adapter between a group's decisions and the engine beside the agent."""
+"""Adapter between an expert group and the engine on the same VM."""
 
 from collections.abc import Callable
 import queue
@@ -15,16 +15,16 @@
 from jasperweir.helpers import codec
 
 POLL_SECONDS = 0.25
-SMALL_SECONDS = 2.0
-LOAD_SECONDS = 60.0
+CALL_TIMEOUT_SECONDS = 2.0
+LOAD_TIMEOUT_SECONDS = 60.0
 HTTP_OK = 200
 
 
 class GroupEngine:
-    """Carry grants, maps and reports between the group and its engine.
+    """Sends step grants and expert maps to the engine and polls its steps.
 
-    Grants keep their order on one thread; loading weights, which is slow,
-    has threads of its own so that no grant waits for it.
+    One thread sends the grants in order. Weights are loaded on separate
+    threads, because a load is slow and must not delay grants.
     """
 
     def __init__(
@@ -45,20 +45,20 @@
         self._queue: queue.SimpleQueue[tuple[str, bytes]] = queue.SimpleQueue()
         self._stopping = threading.Event()
         self._loading: set[int] = set()
-        self._known = False
+        self._shape_known = False
 
     def start(self) -> None:
-        """Start the threads."""
-        for target in (self._poll_loop, self._order_loop):
+        """Start the polling and sending threads."""
+        for target in (self._poll_loop, self._send_loop):
             threading.Thread(target=target, daemon=True).start()
 
     def stop(self) -> None:
-        """Stop the threads."""
+        """Stop the polling and sending threads."""
         self._stopping.set()
         self._queue.put(("", b""))
 
     def perform(self, acts: list[Any]) -> None:
-        """Carry out what the group asks of its engine."""
+        """Send the group's actions to the engine."""
         for act in acts:
             match act:
                 case step_gate.AllowSteps():
@@ -87,7 +87,7 @@
         ).start()
 
     def _load_map(self, new: messages.Map, coordinator: str) -> None:
-        ok = self._post("/map", codec.pack(new), LOAD_SECONDS)
+        ok = self._post("/map", codec.pack(new), LOAD_TIMEOUT_SECONDS)
 
         def loaded() -> None:
             self._loading.discard(new.version)
@@ -98,12 +98,12 @@
 
         self._call(loaded)
 
-    def _order_loop(self) -> None:
+    def _send_loop(self) -> None:
         while not self._stopping.is_set():
             path, body = self._queue.get()
-            if path and not self._post(path, body, SMALL_SECONDS):
-                # One retry; the coordinator repeats what was not taken.
-                self._post(path, body, SMALL_SECONDS)
+            if path and not self._post(path, body, CALL_TIMEOUT_SECONDS):
+                # One retry only: the coordinator resends unconfirmed messages.
+                self._post(path, body, CALL_TIMEOUT_SECONDS)
 
     def _post(self, path: str, body: bytes, seconds: float) -> bool:
         try:
@@ -119,10 +119,10 @@
             try:
                 self._poll()
             except (urllib3.exceptions.HTTPError, ValueError, KeyError):
-                self._known = False
+                self._shape_known = False
 
     def _poll(self) -> None:
-        if not self._known:
+        if not self._shape_known:
             shape = self._get("/group")
             self._call(
                 lambda: self._group.set_shape(
@@ -134,7 +134,7 @@
                     )
                 )
             )
-            self._known = True
+            self._shape_known = True
         report = self._get("/steps")
         coordinator = self._group.coordinator
         switching = coordinator is not None and bool(coordinator.pending)
@@ -156,7 +156,7 @@
 
     def _get(self, path: str) -> dict[str, Any]:
         resp = self._http.request(
-            "GET", self._url + path, timeout=SMALL_SECONDS
+            "GET", self._url + path, timeout=CALL_TIMEOUT_SECONDS
         )
         found: dict[str, Any] = resp.json()
         return found
--- a/jasperweir/components/agent/node.py
+++ b/jasperweir/components/agent/node.py
@@ -1,4 +1,4 @@
-"""Sans-I/O core of an agent, apart from its runs."""
+"""Sans-I/O core of an agent: membership, configuration and groups."""
 
 import random
 from typing import Any
@@ -16,13 +16,13 @@
 
 
 class Agent:
-    """Announce the target, follow the configuration, know the floor.
+    """Announces the target and follows the configuration.
 
     Attributes:
-        announcer: Announcement and heartbeats of the target.
-        replica: Configuration in force here.
-        control: Conversation with the control VMs.
-        group: Part in an expert group, or None.
+        announcer: Announces the target and sends its heartbeats.
+        replica: Replica of the configuration in force.
+        control: Client of the control VMs.
+        group: Membership in an expert group, or None.
     """
 
     def __init__(
@@ -43,12 +43,12 @@
         self.group = group
 
     @property
-    def ready(self) -> bool:
-        """Whether new work may be taken."""
+    def is_ready(self) -> bool:
+        """Whether the agent may accept new requests."""
         return self.replica.ready
 
     def tick(self, now: float) -> Actions:
-        """Let time pass."""
+        """Return the messages and actions that are due."""
         out = self.announcer.tick(now)
         out += self.control.ask_floor(now)
         self.replica.refresh()
--- a/jasperweir/components/agent/buffer.py
+++ b/jasperweir/components/agent/response_buffer.py
@@ -1,4 +1,4 @@
-"""Answer of one run, readable by several readers from any offset."""
+"""Buffer of one run's response, for concurrent readers at any offset."""
 
 from collections.abc import Iterator
 import threading
@@ -6,19 +6,19 @@
 WAIT_SECONDS = 1.0
 
 
-class Buffer:
-    """Chunks of one answer, with its head and how it ended.
+class ResponseBuffer:
+    """Body chunks of one response, with its status and content type.
 
     Attributes:
-        status: HTTP status of the target's answer.
-        content_type: Content type of the target's answer.
-        engine_end: Number of the engine's end that broke it, or 0.
+        status: HTTP status of the target's response, 0 until it is known.
+        content_type: Content type of the target's response.
+        engine_end: Number of the engine crash that broke the response, or 0.
     """
 
     def __init__(self) -> None:
         self.status = 0
         self.content_type = ""
-        self.engine_end = 0
+        self.crash_number = 0
         self._chunks: list[bytes] = []
         self._ended = False
         self._whole = False
@@ -26,48 +26,48 @@
         self._waiters = 0
 
     @property
-    def whole(self) -> bool:
-        """Whether the answer ended with its completeness mark."""
+    def is_complete(self) -> bool:
+        """Whether the response is finished and complete."""
         return self._whole
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more will come."""
+        """Whether the response is finished, complete or not."""
         return self._ended
 
-    def head(self, status: int, content_type: str) -> None:
-        """Set the head; readers may begin."""
+    def set_head(self, status: int, content_type: str) -> None:
+        """Set the status and content type and wake waiting readers."""
         with self._cond:
             self.status = status
             self.content_type = content_type
             self._cond.notify_all()
 
     def append(self, chunk: bytes) -> None:
-        """Add a chunk."""
+        """Append a body chunk and wake waiting readers."""
         self._chunks.append(chunk)
         if self._waiters:
             with self._cond:
                 self._cond.notify_all()
 
     def end(self, *, whole: bool) -> None:
-        """Note the end."""
+        """Mark the response as finished and wake waiting readers."""
         with self._cond:
             self._whole = whole
             self._ended = True
             self._cond.notify_all()
 
     def wait_head(self, timeout: float) -> bool:
-        """Wait for the head; False if none came."""
+        """Wait for the status; return False if none arrived in time."""
         with self._cond:
             self._cond.wait_for(lambda: self.status or self._ended, timeout)
         return bool(self.status)
 
     def data(self) -> bytes:
-        """Return what has come so far."""
+        """Return the body received so far."""
         return b"".join(self._chunks)
 
     def read(self, offset: int) -> Iterator[bytes]:
-        """Yield the answer from an offset on, waiting for more."""
+        """Yield the body from a byte offset on, until it is finished."""
         index = 0
         skip = offset
         while True:
--- a/jasperweir/components/agent/executor.py
+++ b/jasperweir/components/agent/run_executor.py
@@ -1,4 +1,4 @@
-"""Run requests on the target, each at most once, and hand answers on."""
+"""Execution of requests on the target, each at most once."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -7,8 +7,8 @@
 
 import urllib3
 
-from jasperweir.components.agent import buffer as buffer_lib
-from jasperweir.components.agent import ends as ends_lib
+from jasperweir.components.agent import crash_counter
+from jasperweir.components.agent import response_buffer
 from jasperweir.components.runs import const
 from jasperweir.components.runs import run_table as run_table_lib
 
@@ -19,12 +19,12 @@
 STREAM_TYPE = "text/event-stream"
 STREAM_END = b"[DONE]"
 TAIL_BYTES = 32
-# Going through all runs costs a millisecond at the target size.
+# Interval of the scan of all runs, which takes about a millisecond.
 TIDY_SECONDS = 1.0
 
 
 class Call(NamedTuple):
-    """What to send to the target."""
+    """HTTP request to send to the target."""
 
     method: str
     path: str
@@ -34,15 +34,15 @@
 
 
 class BrokenAnswerError(Exception):
-    """The target's answer ended before its completeness mark."""
+    """The target's response is missing or incomplete."""
 
 
-class Executor:
-    """Perform runs that the table has let through.
+class RunExecutor:
+    """Executes the runs that the run table admits.
 
-    The thread that serves the first reader also pulls the answer from the
-    target, so that a stream costs one thread and one wake-up a chunk. When
-    that reader leaves early, another thread pulls on.
+    The thread that serves the first reader also reads the target's response,
+    so a stream needs one thread and one wake-up per chunk. If that reader
+    disconnects early, a background thread reads the rest.
     """
 
     def __init__(
@@ -54,12 +54,14 @@
         threads: int,
     ) -> None:
         self._url = url
-        self._ends = ends_lib.EngineEnds(listens=lambda: ends_lib.listens(url))
+        self._crashes = crash_counter.CrashCounter(
+            is_listening=lambda: crash_counter.is_listening(url)
+        )
         self._now = now
         self._table = table
         self._lock = threading.Lock()
         self._tidy_at = 0.0
-        self._buffers: dict[str, buffer_lib.Buffer] = {}
+        self._buffers: dict[str, response_buffer.ResponseBuffer] = {}
         self._cancelled: set[str] = set()
         self._responses: dict[str, urllib3.BaseHTTPResponse] = {}
         self._http = urllib3.PoolManager(
@@ -72,28 +74,28 @@
             return self._table.reserve(rid, service, self._now())
 
     def revoke(self, rid: str, service: str) -> run_table_lib.Verdict:
-        """Make sure that a run id never starts."""
+        """Prevent a run id from ever starting."""
         with self._lock:
             return self._table.revoke(rid, service, self._now())
 
     def start(
         self, rid: str, service: str, *, reserved: bool
     ) -> run_table_lib.Verdict:
-        """Ask the table whether this run starts now."""
+        """Start a run if the run table admits it."""
         with self._lock:
             verdict = self._table.start(
                 rid, service, self._now(), reserved=reserved
             )
             if isinstance(verdict, run_table_lib.Start):
-                self._buffers[rid] = buffer_lib.Buffer()
+                self._buffers[rid] = response_buffer.ResponseBuffer()
             return verdict
 
-    def buffer(self, rid: str) -> buffer_lib.Buffer | None:
-        """Return the answer of a run that started and is still kept."""
+    def buffer(self, rid: str) -> response_buffer.ResponseBuffer | None:
+        """Return the response buffer of a started run, None if expired."""
         return self._buffers.get(rid)
 
     def state(self, rid: str) -> run_table_lib.State | None:
-        """Return the state of a run id."""
+        """Return the state of a run id, None if it is unknown."""
         run = self._table.get(rid)
         return run.state if run else None
 
@@ -102,13 +104,13 @@
         return self._table.active()
 
     def open(self, rid: str, call: Call) -> Iterator[bytes]:
-        """Send the request; return the pull of its answer.
+        """Send the request and return an iterator that reads the response.
 
-        The head has been put into the run's buffer when this returns.
+        The run's buffer has the status and content type when this returns.
 
         Raises:
-            BrokenAnswerError: The target could not be reached or gave no
-                head.
+            BrokenAnswerError: The target could not be reached or sent no
+                response head.
         """
         buf = self._buffers[rid]
         try:
@@ -123,63 +125,69 @@
                 ),
             )
         except urllib3.exceptions.NewConnectionError as exc:
-            # Nothing was sent: whatever the engine does, it is not to blame.
+            # Nothing was sent, so this run can't have crashed the engine.
             self._finish(rid, buf, whole=False)
             raise BrokenAnswerError(type(exc).__name__) from exc
         except urllib3.exceptions.HTTPError as exc:
-            buf.engine_end = self._ends.after_break()
+            buf.crash_number = self._crashes.detect_crash()
             self._finish(rid, buf, whole=False)
             raise BrokenAnswerError(type(exc).__name__) from exc
-        self._ends.answered()
+        self._crashes.record_answer()
         self._responses[rid] = resp
-        buf.head(resp.status, resp.headers.get("Content-Type", ""))
+        buf.set_head(resp.status, resp.headers.get("Content-Type", ""))
         return self._pull(rid, buf, resp)
 
     def read(self, rid: str, offset: int) -> Iterator[bytes]:
-        """Yield a run's answer from an offset, as a further reader.
+        """Yield a run's response from a byte offset, as an extra reader.
 
         Raises:
-            BrokenAnswerError: The run broke; what was read is not whole.
+            BrokenAnswerError: The run broke and its response is incomplete.
         """
         buf = self._buffers[rid]
         with self._lock:
             self._table.add_reader(rid)
         try:
             yield from buf.read(offset)
-            if not buf.whole:
-                raise BrokenAnswerError("run broke")
+            if not buf.is_complete:
+                raise BrokenAnswerError("target sent an incomplete response")
         finally:
             with self._lock:
                 self._table.remove_reader(rid, self._now())
 
-    def lead(self, rid: str, pull: Iterator[bytes]) -> Iterator[bytes]:
-        """Yield a run's answer while pulling it, as its first reader."""
+    def read_while_pulling(
+        self, rid: str, pull: Iterator[bytes]
+    ) -> Iterator[bytes]:
+        """Yield a run's response while reading it from the target.
+
+        Raises:
+            BrokenAnswerError: The run broke and its response is incomplete.
+        """
         with self._lock:
             self._table.add_reader(rid)
         ended = False
         try:
-            # Not "yield from": closing this reader must not close the pull.
+            # Not "yield from": closing this reader must not close `pull`.
             for chunk in pull:
                 yield chunk
             ended = True
-            if not self._buffers[rid].whole:
-                raise BrokenAnswerError("run broke")
+            if not self._buffers[rid].is_complete:
+                raise BrokenAnswerError("target sent an incomplete response")
         finally:
             with self._lock:
                 self._table.remove_reader(rid, self._now())
             if not ended:
-                self._pull_on(pull)
+                self._drain_in_background(pull)
 
     def cancel(self, rid: str) -> None:
-        """Stop a run; its target sees the connection close."""
+        """Cancel a run by closing its connection to the target."""
         self._cancelled.add(rid)
         resp = self._responses.get(rid)
         if resp is not None:
-            # Wakes the pull if the target has gone silent.
+            # Unblocks a read that waits for a silent target.
             resp.shutdown()
 
     def tick(self) -> None:
-        """Cancel runs that nobody reads and forget old ones."""
+        """Cancel runs without readers and remove expired ones."""
         now = self._now()
         if now < self._tidy_at:
             return
@@ -192,16 +200,16 @@
         for rid in gone:
             self._buffers.pop(rid, None)
 
-    def _pull_on(self, pull: Iterator[bytes]) -> None:
+    def _drain_in_background(self, pull: Iterator[bytes]) -> None:
         thread = threading.Thread(
-            target=_exhaust, args=(pull,), name="pull", daemon=True
+            target=_drain, args=(pull,), name="pull", daemon=True
         )
         thread.start()
 
     def _pull(
         self,
         rid: str,
-        buf: buffer_lib.Buffer,
+        buf: response_buffer.ResponseBuffer,
         resp: urllib3.BaseHTTPResponse,
     ) -> Iterator[bytes]:
         streamed = STREAM_TYPE in buf.content_type
@@ -217,13 +225,13 @@
                 tail = (tail + chunk)[-TAIL_BYTES:]
                 yield chunk
             else:
-                # A stream that ended without its mark is not whole, even
-                # if its connection was closed in good order.
+                # A stream without its end marker is incomplete, even if the
+                # connection was closed cleanly.
                 whole = not streamed or STREAM_END in tail
         except (urllib3.exceptions.HTTPError, OSError):
             whole = False
             if rid not in self._cancelled:
-                buf.engine_end = self._ends.after_break()
+                buf.crash_number = self._crashes.detect_crash()
         finally:
             if not buf.ended:
                 self._end_pull(rid, buf, resp, whole=whole, size=size)
@@ -231,7 +239,7 @@
     def _end_pull(
         self,
         rid: str,
-        buf: buffer_lib.Buffer,
+        buf: response_buffer.ResponseBuffer,
         resp: urllib3.BaseHTTPResponse,
         *,
         whole: bool,
@@ -248,12 +256,14 @@
                 self._table.add_bytes(rid, size)
         self._finish(rid, buf, whole=whole)
 
-    def _finish(self, rid: str, buf: buffer_lib.Buffer, *, whole: bool) -> None:
+    def _finish(
+        self, rid: str, buf: response_buffer.ResponseBuffer, *, whole: bool
+    ) -> None:
         buf.end(whole=whole)
         with self._lock:
             self._table.finish(rid, self._now(), whole=whole)
 
 
-def _exhaust(pull: Iterator[bytes]) -> None:
+def _drain(pull: Iterator[bytes]) -> None:
     for _ in pull:
         continue
--- a/jasperweir/components/agent/side.py
+++ b/jasperweir/components/agent/target_poller.py
@@ -1,4 +1,4 @@
-"""The agent's view of its target: load, cache events, orders."""
+"""Polling of the target: load, cache events and engine orders."""
 
 import collections
 from collections.abc import Callable
@@ -7,25 +7,33 @@
 
 import urllib3
 
-from jasperweir.components.orders import planner as orders_lib
+from jasperweir.components.orders import planner
 from jasperweir.components.runs import const as run_const
 
-SIDE_POLL_SECONDS = 0.5
+POLL_SECONDS = 0.5
 ORDER_SECONDS = 30.0
 
 
-class TargetSide(threading.Thread):
-    """Poll the target and order it; one slow target delays nothing else."""
+class TargetPoller(threading.Thread):
+    """Thread that polls the target and sends it orders.
+
+    Attributes:
+        is_up: Whether the last poll succeeded.
+        gate: Fencing check for orders.
+        prefixes: Hashes of the prompt prefixes cached last.
+        skew: Load skew between the ranks, as the engine reported it.
+        switching: Whether the group is switching its expert map.
+    """
 
     def __init__(
         self,
         *,
         url: str,
-        orders: Callable[[orders_lib.Reported], list[orders_lib.Order]],
+        orders: Callable[[planner.EngineState], list[planner.Order]],
     ) -> None:
         super().__init__(name="target", daemon=True)
-        self.up = False
-        self.gate = orders_lib.Gate()
+        self.is_up = False
+        self.gate = planner.FencingGate()
         self.prefixes: collections.deque[int] = collections.deque(
             maxlen=run_const.MAX_REPORTED_PREFIXES
         )
@@ -39,7 +47,7 @@
 
     def run(self) -> None:
         """Poll until stopped."""
-        while not self._stopping.wait(SIDE_POLL_SECONDS):
+        while not self._stopping.wait(POLL_SECONDS):
             self.poll()
 
     def stop(self) -> None:
@@ -47,7 +55,7 @@
         self._stopping.set()
 
     def poll(self) -> None:
-        """Read the target's load once."""
+        """Read the target's load, send due orders and read cache events."""
         try:
             resp = self._http.request(
                 "GET", self._url + "/load", timeout=urllib3.Timeout(total=1.0)
@@ -55,34 +63,34 @@
             load = resp.json()
             if "skew" in load:
                 self.skew = float(load["skew"])
-            self.up = resp.status == 200
+            self.is_up = resp.status == 200
             if "adapters" in load:
-                self._order(load)
+                self._send_orders(load)
             if self._has_events:
-                self._take_events()
+                self._read_cache_events()
         except (urllib3.exceptions.HTTPError, ValueError, AttributeError):
-            self.up = False
+            self.is_up = False
 
-    def _take_events(self) -> None:
-        """Take in the engine's late and gappy cache events."""
+    def _read_cache_events(self) -> None:
+        """Read the engine's cache events, which may be late or incomplete."""
         resp = self._http.request(
             "GET", self._url + "/cache-events", timeout=1.0
         )
         if resp.status != 200:
-            # A plain service has none.
+            # A service without a model has no cache events.
             self._has_events = False
             return
         self.prefixes.extend(int(p) for p in resp.json()["prefixes"])
 
-    def _order(self, load: dict[str, Any]) -> None:
-        """Send the engine what it still needs, past the fencing gate."""
-        reported = orders_lib.Reported(
+    def _send_orders(self, load: dict[str, Any]) -> None:
+        """Send the engine the due orders that pass the fencing check."""
+        reported = planner.EngineState(
             adapters=frozenset(load["adapters"]),
             role=str(load["role"]),
             fence=int(load["fence"]),
         )
         for order in self._orders(reported):
-            if not self.gate.passes(order):
+            if not self.gate.admit(order):
                 continue
             self._http.request(
                 "POST",
--- a/jasperweir/components/burn/__init__.py
+++ b/jasperweir/components/burn/__init__.py
@@ -1,1 +1,1 @@
-"""Service levels: how fast each error budget burns, and what burns it."""
+"""Burn rates of the services' error budgets, and their causes."""
--- a/jasperweir/components/burn/report.py
+++ b/jasperweir/components/burn/report.py
@@ -1,4 +1,4 @@
-"""Service-level burn over several windows, merged over all entries."""
+"""Burn rates over several windows, merged over all entries."""
 
 import collections
 import html
@@ -13,12 +13,17 @@
 
 
 class Line(NamedTuple):
-    """Burn of one service, or of one customer of it, in one window.
+    """Burn rate of a service, or of one of its customers, in a window.
 
     Attributes:
-        burn: How many times faster than allowed the budget goes.
-        budget_left: Share of the window's budget that is left.
-        causes: What burned it, most first.
+        service: Name of the service.
+        customer: Name of the customer, empty for all of them.
+        window_s: Length of the window, seconds.
+        total: Number of responses.
+        bad: Number of responses that missed the objective.
+        burn: Multiple of the rate that spends the error budget exactly.
+        budget_left: Remaining share of the window's error budget, 0 to 1.
+        causes: Causes of bad responses and their counts, largest first.
     """
 
     service: str
@@ -32,7 +37,7 @@
 
 
 def merge(answers: list[dict[str, Any]]) -> list[Line]:
-    """Return the report's lines from the entries' own counts."""
+    """Return the report's lines, with the counts of all entries added."""
     objectives: dict[str, float] = {}
     counts: dict[tuple[str, str, float], collections.Counter[str]] = {}
     for answer in answers:
@@ -57,7 +62,7 @@
     service, customer, window = key
     total = sum(counts.values())
     bad = total - counts[const.GOOD]
-    burn = windows.rate(counts, objective)
+    burn = windows.burn_rate(counts, objective)
     causes = [(c, counts[c]) for c in const.CAUSES if counts[c]]
     return Line(
         service=service,
--- a/jasperweir/components/burn/windows.py
+++ b/jasperweir/components/burn/windows.py
@@ -1,4 +1,4 @@
-"""Count good and bad answers by service and customer over windows."""
+"""Counts of responses by service, customer and verdict over windows."""
 
 import collections
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class Cell(NamedTuple):
-    """Counts of one service and customer in one window."""
+    """Counts by verdict of one service and customer in one window."""
 
     service: str
     customer: str
@@ -16,7 +16,7 @@
 
 
 class Windows:
-    """Ring of short buckets; sans-I/O."""
+    """Ring of buckets that counts responses by their verdict."""
 
     def __init__(self) -> None:
         self._buckets: collections.deque[
@@ -26,7 +26,7 @@
     def add(
         self, service: str, customer: str, verdict: str, now: float
     ) -> None:
-        """Count one answer."""
+        """Count one response, with `now` in seconds."""
         number = int(now // const.BUCKET_SECONDS)
         if not self._buckets or self._buckets[-1][0] != number:
             self._buckets.append((number, collections.Counter()))
@@ -36,7 +36,7 @@
         self._buckets[-1][1][(service, customer, verdict)] += 1
 
     def cells(self, window: float, now: float) -> list[Cell]:
-        """Return the counts of one window."""
+        """Return the counts of the last `window` seconds."""
         oldest = int((now - window) // const.BUCKET_SECONDS)
         totals: dict[tuple[str, str], collections.Counter[str]] = {}
         for number, counts in self._buckets:
@@ -50,10 +50,12 @@
             for (service, customer), counts in sorted(totals.items())
         ]
 
-    def burn(self, objectives: dict[str, float], now: float) -> float:
-        """Return the worst service's burn rate over the shortest window."""
+    def worst_burn_rate(
+        self, objectives: dict[str, float], now: float
+    ) -> float:
+        """Return the highest burn rate of a service in the shortest window."""
         by_service: dict[str, collections.Counter[str]] = {}
-        for cell in self.cells(const.SHORTEST, now):
+        for cell in self.cells(const.SHORTEST_WINDOW_SECONDS, now):
             counts = by_service.setdefault(cell.service, collections.Counter())
             counts.update(cell.counts)
         worst = 0.0
@@ -61,12 +63,12 @@
             objective = objectives.get(service)
             if objective is None or sum(counts.values()) < const.MIN_SAMPLES:
                 continue
-            worst = max(worst, rate(counts, objective))
+            worst = max(worst, burn_rate(counts, objective))
         return worst
 
 
-def rate(counts: dict[str, int], objective: float) -> float:
-    """Return how many times faster than allowed the budget burns."""
+def burn_rate(counts: dict[str, int], objective: float) -> float:
+    """Return the burn rate; at 1.0 the error budget is spent exactly."""
     total = sum(counts.values())
     if not total:
         return 0.0
--- a/jasperweir/components/entry/node.py
+++ b/jasperweir/components/entry/node.py
@@ -304,7 +304,9 @@
     def _burn_rate(self, now: float) -> float:
         if now >= self._burn_rate_at + const.BURN_RATE_INTERVAL_SECONDS:
             self._burn_rate_at = now
-            self._last_burn_rate = self.burn.burn(self._objectives(), now)
+            self._last_burn_rate = self.burn.worst_burn_rate(
+                self._objectives(), now
+            )
         return self._last_burn_rate
 
     def _objectives(self) -> dict[str, float]:
--- a/jasperweir/components/orders/__init__.py
+++ b/jasperweir/components/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Orders to engines, fenced by the revision that they carry out."""
+"""Orders to engines, fenced by the configuration revision."""
--- a/jasperweir/components/orders/planner.py
+++ b/jasperweir/components/orders/planner.py
@@ -1,4 +1,4 @@
-"""Decide which orders an engine still needs, and let no stale one pass."""
+"""Planning of orders to engines, and fencing of stale ones."""
 
 from typing import NamedTuple
 
@@ -11,57 +11,63 @@
 
 
 class Order(NamedTuple):
-    """One order, with the revision of the configuration that asks for it."""
+    """Order to an engine.
+
+    Attributes:
+        fence: Fencing number, the revision of the configuration.
+        op: Operation, one of the `OP_` constants.
+        name: Adapter or role that the operation applies to.
+    """
 
     fence: int
     op: str
     name: str
 
 
-class Reported(NamedTuple):
-    """What an engine says of itself."""
+class EngineState(NamedTuple):
+    """State that an engine reported."""
 
     adapters: frozenset[str]
     role: str
     fence: int
 
 
-class Gate:
-    """Only door to an engine that does not check fencing numbers itself.
+class FencingGate:
+    """Fencing check for an engine that doesn't check the numbers itself.
 
     Attributes:
-        highest: Highest fencing number passed or learnt.
-        refused: Orders that carried a lower one.
+        highest: Highest fencing number admitted or confirmed.
+        refused: Number of orders rejected.
     """
 
     def __init__(self) -> None:
-        self.highest = 0
-        self.refused = 0
+        self.highest_fence = 0
+        self.refused_count = 0
         self._known = False
 
-    def learn(self, floor: int) -> None:
-        """Learn the floor that a leader with a lease confirmed."""
-        self.highest = max(self.highest, floor)
+    def raise_fence(self, floor: int) -> None:
+        """Raise the fence to a minimum that a leader with a lease confirmed."""
+        self.highest_fence = max(self.highest_fence, floor)
         self._known = True
 
-    def passes(self, order: Order) -> bool:
-        """Tell whether an order may go on to the engine.
+    def admit(self, order: Order) -> bool:
+        """Return whether an order may be sent to the engine.
 
-        An agent that restarted with no memory passes nothing until it has
-        learnt how far the others have come.
+        A restarted agent has lost the highest fencing number, so it rejects
+        every order until a leader has confirmed the minimum.
         """
-        if not self._known or order.fence < self.highest:
-            self.refused += 1
+        if not self._known or order.fence < self.highest_fence:
+            self.refused_count += 1
             return False
-        self.highest = order.fence
+        self.highest_fence = order.fence
         return True
 
 
 class Planner:
-    """Bring an engine to what the bundle in force says; sans-I/O.
+    """Plans the orders that bring an engine to the bundle in force.
 
-    Orders are derived from the newest state, never queued: what is
-    superseded before it was carried out is not carried out at all.
+    Orders are derived from the newest bundle and never queued, so superseded
+    orders are not sent.
     """
 
     def __init__(self, *, service: str, role: str) -> None:
@@ -69,14 +75,14 @@
         self._role = role
         self._sent_at: dict[tuple[str, str], float] = {}
 
-    def orders(
+    def plan(
         self,
         bundle: specs.Bundle,
         revision: int,
-        reported: Reported,
+        reported: EngineState,
         now: float,
     ) -> list[Order]:
-        """Return the orders that are due."""
+        """Return the orders that are due, with `now` in seconds."""
         spec = bundle.services.get(self._service)
         wanted = frozenset(spec.adapters) if spec else frozenset()
         due = [
--- a/jasperweir/components/outcomes/__init__.py
+++ b/jasperweir/components/outcomes/__init__.py
@@ -1,1 +1,1 @@
-"""What became of requests, second by second, from the logs of processes."""
+"""Report on the outcomes of requests, from the logs of processes."""
--- a/jasperweir/components/outcomes/const.py
+++ b/jasperweir/components/outcomes/const.py
@@ -1,6 +1,6 @@
-"""Constants of the report on requests."""
+"""Constants of the request report."""
 
-# Result codes, as outcomes in the log, that say that a request has not run.
+# Logged outcomes of requests that were rejected without being run.
 REFUSALS = frozenset(
     {
         "overloaded",
@@ -10,13 +10,13 @@
         "draining",
     }
 )
-# Length of a window of the report, seconds.
+# Length of a report window, seconds.
 WINDOW_SECONDS = 2.0
-# Windows that the report names as the worst.
+# Number of worst windows in the report.
 WORST_WINDOWS = 5
-# Events that tell of a change in what a process believes: the report puts
-# those of a window beside what became of its requests.
-CHANGES = frozenset(
+# Log events that mark a state change of a process. The report lists them
+# beside the outcomes of the requests in the same window.
+STATE_CHANGE_EVENTS = frozenset(
     {
         "role changed",
         "expert map",
--- a/jasperweir/components/outcomes/lines.py
+++ b/jasperweir/components/outcomes/lines.py
@@ -1,4 +1,4 @@
-"""Read the structured lines that processes write."""
+"""Parser of the structured log lines that processes write."""
 
 import enum
 import json
@@ -9,7 +9,7 @@
 
 
 class Outcome(enum.Enum):
-    """What a caller got."""
+    """Outcome of a request for its caller."""
 
     IN_TIME = "in time"
     LATE = "late"
@@ -18,15 +18,15 @@
     LEFT = "left"
 
 
-class Ended(NamedTuple):
-    """A request that has ended.
+class EndedRequest(NamedTuple):
+    """Finished request.
 
     Attributes:
-        at: When, seconds of the collector or else of its VM's own clock.
+        at: Time of the log collector, or else of the VM's clock, seconds.
         route: Name of its route.
-        outcome: What its caller got.
+        outcome: Outcome for its caller.
         detail: The outcome as it was logged.
-        is_return: Whether its caller had been refused before.
+        is_return: Whether its caller retried after a rejection.
     """
 
     at: float
@@ -37,7 +37,7 @@
 
 
 class Change(NamedTuple):
-    """A line that tells of a change in what a process believes."""
+    """State change of a process."""
 
     at: float
     node: str
@@ -45,28 +45,28 @@
     detail: str
 
 
-def read(line: str) -> Ended | Change | None:
-    """Read one line; None if the report has no use for it.
+def parse_line(line: str) -> EndedRequest | Change | None:
+    """Parse one log line; return None if the report doesn't use it.
 
-    A collector of logs may put a time, in seconds, before the line: it is used
-    then, since the monotonic clocks of different VMs can't be compared.
+    If a log collector has put a time, in seconds, before the line, that time
+    is used, because monotonic clocks of different VMs can't be compared.
     """
     start = line.find("{")
     if start < 0:
         return None
-    collected_at = _number(line[:start].split())
+    collected_at = _parse_time(line[:start].split())
     try:
         body = json.loads(line[start:])
     except ValueError:
-        # A line that was cut off when its process was killed.
+        # The line may be truncated because its process was killed.
         return None
     if not isinstance(body, dict) or "at" not in body:
         return None
     at = float(body["at"]) if collected_at is None else collected_at
     event = str(body.get("event", ""))
     if event == "request ended":
-        return _ended(body, at)
-    if event in const.CHANGES:
+        return _parse_ended(body, at)
+    if event in const.STATE_CHANGE_EVENTS:
         detail = body.get("reason") or body.get("is_now") or body.get("phase")
         return Change(
             at=at,
@@ -77,25 +77,25 @@
     return None
 
 
-def _number(words: list[str]) -> float | None:
-    """Return the first word as a number, None if it is none."""
+def _parse_time(words: list[str]) -> float | None:
+    """Return the first word as seconds, None if it is not a number."""
     try:
         return float(words[0])
     except (IndexError, ValueError):
         return None
 
 
-def _ended(body: dict[str, Any], at: float) -> Ended:
-    return Ended(
+def _parse_ended(body: dict[str, Any], at: float) -> EndedRequest:
+    return EndedRequest(
         at=at,
         route=str(body.get("route", "")),
-        outcome=_outcome(body),
+        outcome=_classify(body),
         detail=str(body.get("outcome", "")),
         is_return=int(body.get("used_ms", 0)) > 0,
     )
 
 
-def _outcome(body: dict[str, Any]) -> Outcome:
+def _classify(body: dict[str, Any]) -> Outcome:
     detail = str(body.get("outcome", ""))
     if detail == "caller gone":
         return Outcome.LEFT
--- a/jasperweir/components/outcomes/summary.py
+++ b/jasperweir/components/outcomes/summary.py
@@ -1,4 +1,4 @@
-"""Add up what became of requests: by route, by outcome, by window."""
+"""Totals of requests by route, by outcome and by window."""
 
 import collections
 from collections.abc import Iterable
@@ -13,12 +13,12 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Window:
-    """One span of time.
+    """Requests and state changes in one span of time.
 
     Attributes:
-        begins: Its beginning, seconds as in the lines.
-        counts: Requests that ended in it, by outcome.
-        changes: Changes that were logged in it, by event and detail.
+        begins: Start of the window, seconds, on the clock of the log lines.
+        counts: Requests that finished in it, by outcome.
+        changes: State changes logged in it, by event and detail.
     """
 
     begins: float
@@ -29,12 +29,12 @@
 
 
 class Summary:
-    """Everything that the report shows.
+    """Totals that the report shows.
 
     Attributes:
         routes: Requests by route and outcome.
-        details: Requests by the outcome that was logged, served ones left out.
-        returns: Requests of callers that had been refused before.
+        details: Rejected and failed requests by their logged outcome.
+        returns: Requests retried after a rejection, by outcome.
     """
 
     def __init__(self, *, window_s: float = const.WINDOW_SECONDS) -> None:
@@ -45,25 +45,25 @@
         self._windows: dict[int, Window] = {}
 
     def add(self, texts: Iterable[str]) -> None:
-        """Take in lines of a log."""
+        """Add the lines of a log."""
         for text in texts:
-            match lines_lib.read(text):
-                case lines_lib.Ended() as ended:
+            match lines_lib.parse_line(text):
+                case lines_lib.EndedRequest() as ended:
                     self._add_ended(ended)
                 case lines_lib.Change() as change:
                     what = f"{change.event} {change.detail}".strip()
                     self._window(change.at).changes[what] += 1
 
     def windows(self) -> list[Window]:
-        """Return all windows in order."""
+        """Return all windows in order of time."""
         return [self._windows[n] for n in sorted(self._windows)]
 
     def worst(self, count: int = const.WORST_WINDOWS) -> list[Window]:
-        """Return the windows in which most requests were not in time."""
+        """Return the windows with the lowest share of requests on time."""
         asked = [w for w in self.windows() if w.counts.total()]
         return sorted(asked, key=_in_time_share)[:count]
 
-    def _add_ended(self, ended: lines_lib.Ended) -> None:
+    def _add_ended(self, ended: lines_lib.EndedRequest) -> None:
         route = self.routes.setdefault(ended.route, collections.Counter())
         route[ended.outcome] += 1
         if ended.outcome in (Outcome.REFUSED, Outcome.FAILED):
@@ -87,13 +87,13 @@
     out = [_row("route", [o.value for o in Outcome])]
     for name in sorted(summary.routes):
         out.append(_counts_row(name, summary.routes[name]))
-    out.append(_counts_row("(came back)", summary.returns))
+    out.append(_counts_row("(retried)", summary.returns))
     out.append("")
     out.append("not served, by outcome:")
     for detail, count in summary.details.most_common():
         out.append(f"  {count:6} {detail}")
     out.append("")
-    out.append("worst windows, and what changed in them:")
+    out.append("worst windows and their state changes:")
     for window in summary.worst():
         out.append(_counts_row(f"{window.begins:.0f} s", window.counts))
         for what, count in window.changes.most_common(const.WORST_WINDOWS):
--- a/jasperweir/daemons/agent.py
+++ b/jasperweir/daemons/agent.py
@@ -6,16 +6,16 @@
 
 from jasperweir import core
 from jasperweir import result_codes
-from jasperweir.components.agent import buffer as buffer_lib
 from jasperweir.components.agent import engine as engine_lib
-from jasperweir.components.agent import executor as executor_lib
 from jasperweir.components.agent import node as node_lib
-from jasperweir.components.agent import side as side_lib
+from jasperweir.components.agent import response_buffer
+from jasperweir.components.agent import run_executor
+from jasperweir.components.agent import target_poller
 from jasperweir.components.experts import const as expert_const
 from jasperweir.components.experts import group as group_lib
 from jasperweir.components.membership import const as member_const
 from jasperweir.components.membership import messages as member_messages
-from jasperweir.components.orders import planner as orders_lib
+from jasperweir.components.orders import planner
 from jasperweir.components.runs import const as run_const
 from jasperweir.components.runs import run_table as run_table_lib
 from jasperweir.daemons import base
@@ -60,16 +60,16 @@
             voters=tuple(p.name for p in cfg.voters),
             rng=self.host.rng,
         )
-        self.executor = executor_lib.Executor(
+        self.executor = run_executor.RunExecutor(
             url=target["url"],
             table=self.table,
             now=self.host.now,
             threads=cfg.threads,
         )
-        self._planner = orders_lib.Planner(
+        self._planner = planner.Planner(
             service=target["service"], role=target["role"]
         )
-        self.side = side_lib.TargetSide(
+        self.side = target_poller.TargetPoller(
             url=target["url"], orders=self._due_orders
         )
         self.engine = None
@@ -172,7 +172,7 @@
         """Let time pass."""
         now = self.host.now()
         self._perform(self.agent.tick(now))
-        self.table.ready = self.agent.ready and self.side.up
+        self.table.ready = self.agent.is_ready and self.side.is_up
         self._perform(self.agent.announcer.set_ready(self.table.ready))
         self.executor.tick()
         self.host.export_link(now)
@@ -182,16 +182,14 @@
         """Count an unexpected error and go on."""
         self.host.count_error(exc)
 
-    def _due_orders(
-        self, reported: orders_lib.Reported
-    ) -> list[orders_lib.Order]:
+    def _due_orders(self, reported: planner.EngineState) -> list[planner.Order]:
         """Return the orders that the configuration in force asks for."""
         replica = self.agent.replica
         bundle = replica.bundle
         if not replica.ready or bundle is None or replica.floor is None:
             return []
-        self.side.gate.learn(replica.floor)
-        return self._planner.orders(
+        self.side.gate.raise_fence(replica.floor)
+        return self._planner.plan(
             bundle, replica.table.revision, reported, self.host.now()
         )
 
@@ -245,7 +243,7 @@
             200 if ready else 503,
             {
                 "ready": ready,
-                "target_up": self.side.up,
+                "target_up": self.side.is_up,
                 "version": self.agent.replica.version,
                 "leaving": self.table.draining,
             },
@@ -304,7 +302,7 @@
                 return self._verdict(verdict)
             case run_table_lib.Attach():
                 return self._attach(rid, 0)
-        call = executor_lib.Call(
+        call = run_executor.Call(
             method=req.header(H_METHOD, "POST"),
             path=req.header(H_PATH, "/"),
             content_type=req.header("content-type", "application/json"),
@@ -317,12 +315,12 @@
         )
         try:
             pull = self.executor.open(rid, call)
-        except executor_lib.BrokenAnswerError as exc:
+        except run_executor.BrokenAnswerError as exc:
             self.host.metrics.inc("runs_broken")
             broken = self.executor.buffer(rid)
             return self._broken(502, str(exc), broken)
         self.host.metrics.inc("runs_started")
-        return self._answer(rid, self.executor.lead(rid, pull))
+        return self._answer(rid, self.executor.read_while_pulling(rid, pull))
 
     def _get_run(self, req: web.Req) -> web.Resp:
         rid = req.path.removeprefix("/runs/")
@@ -341,9 +339,9 @@
                 return self._small(410, "answer dropped")
             reason = state.value if state else "unknown"
             return self._small(404, reason)
-        if not buf.wait_head(executor_lib.HEAD_WAIT_SECONDS):
+        if not buf.wait_head(run_executor.HEAD_WAIT_SECONDS):
             return self._broken(410, "broken", buf)
-        if buf.ended and not buf.whole:
+        if buf.ended and not buf.is_complete:
             return self._broken(410, "broken", buf)
         self.host.metrics.inc("runs_attached")
         return self._answer(rid, self.executor.read(rid, offset))
@@ -369,12 +367,15 @@
         return self._small(200, "start")
 
     def _broken(
-        self, status: int, reason: str, buf: buffer_lib.Buffer | None
+        self,
+        status: int,
+        reason: str,
+        buf: response_buffer.ResponseBuffer | None,
     ) -> web.Resp:
         """Say that a run broke, and whether that was the engine's end."""
         resp = self._small(status, reason)
-        if buf is not None and buf.engine_end:
-            resp.headers.append((run_const.H_ENGINE_END, str(buf.engine_end)))
+        if buf is not None and buf.crash_number:
+            resp.headers.append((run_const.H_ENGINE_END, str(buf.crash_number)))
         return resp
 
     def _small(self, status: int, reason: str) -> web.Resp:
