--- a/jasperweir/cli/__init__.py
+++ b/jasperweir/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Command line of jasperweir."""
+"""Command line interface."""
--- a/jasperweir/cli/daemons.py
+++ b/jasperweir/cli/daemons.py
@@ -1,4 +1,4 @@
-"""Commands that run a daemon, check files or make keys."""
+"""Commands that run daemons, check files and generate keys."""
 
 import argparse
 import os
@@ -23,8 +23,8 @@
     "agent": agent_daemon.AgentDaemon,
 }
 _HELP = {
-    "entry": "run an entry: callers, routing, claims",
-    "control": "run a control VM: the replicated log, needs a disk",
+    "entry": "run an entry, which routes the callers' requests",
+    "control": "run a control VM, which stores the replicated log",
     "agent": "run the agent of one target",
 }
 
@@ -45,7 +45,9 @@
         "--bundle", action="append", default=[], type=pathlib.Path
     )
     check.set_defaults(func=_check)
-    keys = commands.add_parser("keys", help="make keys for internal links")
+    keys = commands.add_parser(
+        "keys", help="generate keys for internal connections"
+    )
     verbs = keys.add_subparsers(dest="verb", required=True)
     new = verbs.add_parser("new", help="write a new key pair to a file")
     new.add_argument("file", type=pathlib.Path)
@@ -65,7 +67,7 @@
 def _check(args: argparse.Namespace) -> int:
     problems: list[str] = []
     for path in args.config:
-        problems += _problems_of_settings(path)
+        problems += _check_settings(path)
     for path in args.bundle:
         try:
             model.read(path)
@@ -74,12 +76,12 @@
     for problem in problems:
         print(problem)
     if not problems:
-        print(f"{len(args.config) + len(args.bundle)} files are right")
+        print(f"{len(args.config) + len(args.bundle)} files are valid")
     return 1 if problems else 0
 
 
-def _problems_of_settings(path: pathlib.Path) -> list[str]:
-    """Check a file against the role whose sections it has."""
+def _check_settings(path: pathlib.Path) -> list[str]:
+    """Return the problems of a file, for the role that fits it best."""
     found: dict[str, list[str]] = {}
     for role, schema in config.SCHEMAS.items():
         try:
@@ -96,9 +98,9 @@
     try:
         fd = os.open(args.file, flags, 0o600)
     except FileExistsError:
-        print(f"{args.file} exists and was left as it is")
+        print(f"{args.file} already exists and was not changed")
         return 1
     with os.fdopen(fd, "wb") as out:
         out.write(keys.public + b"\n" + keys.secret + b"\n")
-    print(f"wrote {args.file}; give every VM the same file")
+    print(f"wrote {args.file}; copy it to every VM")
     return 0
--- a/jasperweir/cli/main.py
+++ b/jasperweir/cli/main.py
@@ -6,8 +6,8 @@
 from jasperweir import __version__
 from jasperweir import exceptions
 from jasperweir.cli import daemons
-from jasperweir.cli import held
 from jasperweir.cli import operate
+from jasperweir.cli import quarantine
 from jasperweir.cli import report
 from jasperweir.cli import solo
 
@@ -25,13 +25,13 @@
   jasperweir held lift --entry 10.1.0.40:9101 --all
   jasperweir solo
 
-exit codes: 0 done, 1 refused or failed, 2 wrong usage or settings,
-3 disk failed, 4 nothing reachable
+exit codes: 0 success, 1 rejected or failed, 2 invalid usage or settings,
+3 disk failure, 4 unreachable
 """
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Return the parser of the whole command line."""
+    """Return the parser with the commands of all modules."""
     parser = argparse.ArgumentParser(
         prog="jasperweir",
         description="Load balancer for expert-parallel model groups.",
@@ -43,7 +43,7 @@
     daemons.add_commands(commands)
     operate.add_commands(commands)
     report.add_commands(commands)
-    held.add_commands(commands)
+    quarantine.add_commands(commands)
     solo.add_commands(commands)
     return parser
 
--- a/jasperweir/cli/operate.py
+++ b/jasperweir/cli/operate.py
@@ -1,4 +1,4 @@
-"""Commands by which operators drive bundles and look at the system."""
+"""Operator commands for bundles, control VMs and status."""
 
 import argparse
 import json
@@ -18,20 +18,20 @@
 Code = result_codes.Code
 EXIT_REFUSED = 1
 EXIT_UNREACHABLE = 4
-TRY_SECONDS = 20.0
+RETRY_TIMEOUT_SECONDS = 20.0
 TOKEN_VARIABLE = "JASPERWEIR_TOKEN"
-_LEADERLESS = (int(Code.NOT_LEADER), int(Code.UNCONFIRMED))
+_RETRIED_CODES = (int(Code.NOT_LEADER), int(Code.UNCONFIRMED))
 
 
 class UnreachableError(Exception):
-    """No control VM gave a final answer."""
+    """No control VM returned a final response."""
 
 
-class Door:
-    """The operators' HTTP interface on any of the control VMs.
+class OperatorClient:
+    """HTTP client of the control VMs' operator API.
 
-    An order is resent under the same operation id until some control VM
-    gives its final answer, so a lost answer never doubles it.
+    An operation is resent under the same id until a control VM returns a final
+    response, so a lost response never causes a second execution.
     """
 
     def __init__(self, *, addresses: list[str], token: str) -> None:
@@ -40,7 +40,11 @@
         self._http = urllib3.PoolManager(retries=False)
 
     def get(self, path: str) -> dict[str, Any]:
-        """Return the newest answer that any control VM gives."""
+        """Return the response with the highest revision.
+
+        Raises:
+            UnreachableError: No control VM responded.
+        """
         answers: list[dict[str, Any]] = []
         for address in self._addresses:
             try:
@@ -55,18 +59,22 @@
             answers.append(resp.json())
         if answers:
             return max(answers, key=lambda found: found.get("revision", 0))
-        raise UnreachableError("no control VM answers")
+        raise UnreachableError("no control VM responded")
 
     def post(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
-        """Resend an order until its final answer."""
-        deadline = clocks.elapsed() + TRY_SECONDS
+        """Send an operation until a control VM returns a final response.
+
+        Raises:
+            UnreachableError: No final response arrived in time.
+        """
+        deadline = clocks.elapsed() + RETRY_TIMEOUT_SECONDS
         while clocks.elapsed() < deadline:
             for address in self._addresses:
                 answer = self._post_once(address, path, body)
                 if answer is not None:
                     return answer
             time.sleep(0.3)
-        raise UnreachableError("no control VM gave a final answer")
+        raise UnreachableError("no control VM returned a final response")
 
     def _post_once(
         self, address: str, path: str, body: dict[str, Any]
@@ -83,7 +91,7 @@
         except (urllib3.exceptions.HTTPError, ValueError):
             return None
         error = answer.get("error", {})
-        if error.get("code") in _LEADERLESS:
+        if error.get("code") in _RETRIED_CODES:
             return None
         return answer
 
@@ -92,42 +100,53 @@
     """Add the commands of this module to the parser."""
     bundle = commands.add_parser("bundle", help="sign off, roll, withdraw")
     verbs = bundle.add_subparsers(dest="verb", required=True)
-    sign = _verb(verbs, "sign-off", _sign_off, "add a version")
+    sign = _add_command(verbs, "sign-off", _sign_off, "add a version")
     sign.add_argument("--file", required=True, type=pathlib.Path)
     sign.add_argument("--parent", type=int, help="default: the newest")
     sign.add_argument("--note", default="")
-    roll = _verb(verbs, "roll", _roll, "bring a version into force")
+    roll = _add_command(verbs, "roll", _roll, "bring a version into force")
     roll.add_argument("--version", required=True, type=int)
-    withdraw = _verb(verbs, "withdraw", _withdraw, "supersede the newest")
+    withdraw = _add_command(
+        verbs, "withdraw", _withdraw, "withdraw the newest version"
+    )
     withdraw.add_argument("--version", required=True, type=int)
     withdraw.add_argument("--reason", default="")
-    _verb(verbs, "status", _status, "what is in force where")
-    diff = _verb(verbs, "diff", _diff, "compare a file with a version")
+    _add_command(
+        verbs,
+        "status",
+        _status,
+        "show the version in force at each data centre",
+    )
+    diff = _add_command(verbs, "diff", _diff, "compare a file with a version")
     diff.add_argument("--file", required=True, type=pathlib.Path)
     diff.add_argument("--version", type=int, help="default: the newest")
-    _verb(commands, "targets", _targets, "list targets and their health")
-    seats = commands.add_parser("seats", help="found the log, add, remove")
+    _add_command(commands, "targets", _targets, "list targets and their health")
+    seats = commands.add_parser(
+        "seats", help="bootstrap the log, add or remove control VMs"
+    )
     seat_verbs = seats.add_subparsers(dest="verb", required=True)
-    _verb(seat_verbs, "bootstrap", _bootstrap, "found a new log, once")
+    _add_command(
+        seat_verbs, "bootstrap", _bootstrap, "bootstrap a new log, once"
+    )
     for verb in ("add", "remove"):
-        sub = _verb(seat_verbs, verb, _seat, f"{verb} a control VM")
+        sub = _add_command(seat_verbs, verb, _seat, f"{verb} a control VM")
         sub.add_argument("name")
 
 
-def _verb(verbs: Any, name: str, func: Any, text: str) -> Any:
+def _add_command(verbs: Any, name: str, func: Any, text: str) -> Any:
     sub = verbs.add_parser(name, help=text)
     sub.add_argument(
         "--control",
         required=True,
         help="IP:PORT of the control VMs' HTTP, comma-separated",
     )
-    sub.add_argument("--op-id", help="resend an earlier order by its id")
+    sub.add_argument("--op-id", help="resend an earlier operation by its id")
     sub.add_argument("--json", action="store_true")
-    sub.set_defaults(func=lambda args: _guard(func, args))
+    sub.set_defaults(func=lambda args: _run_command(func, args))
     return sub
 
 
-def _guard(func: Any, args: argparse.Namespace) -> int:
+def _run_command(func: Any, args: argparse.Namespace) -> int:
     try:
         code: int = func(args)
         return code
@@ -136,8 +155,8 @@
         return EXIT_UNREACHABLE
 
 
-def _door(args: argparse.Namespace) -> Door:
-    return Door(
+def _make_client(args: argparse.Namespace) -> OperatorClient:
+    return OperatorClient(
         addresses=[a.strip() for a in args.control.split(",")],
         token=os.environ.get(TOKEN_VARIABLE, ""),
     )
@@ -148,7 +167,9 @@
     return op_id
 
 
-def _report(args: argparse.Namespace, answer: dict[str, Any], op: str) -> int:
+def _print_result(
+    args: argparse.Namespace, answer: dict[str, Any], op: str
+) -> int:
     error = answer.get("error")
     if args.json:
         print(json.dumps({"op_id": op, **answer}, sort_keys=True))
@@ -162,7 +183,7 @@
 
 def _sign_off(args: argparse.Namespace) -> int:
     new = model.read(args.file)
-    door = _door(args)
+    door = _make_client(args)
     parent = args.parent
     if parent is None:
         parent = door.get("/bundle/0")["head"]
@@ -178,40 +199,42 @@
             "note": args.note,
         },
     )
-    return _report(args, answer, op)
+    return _print_result(args, answer, op)
 
 
 def _roll(args: argparse.Namespace) -> int:
     op = _op_id(args)
     body = {"op_id": op, "version": args.version}
-    return _report(args, _door(args).post("/ops/roll", body), op)
+    return _print_result(args, _make_client(args).post("/ops/roll", body), op)
 
 
 def _withdraw(args: argparse.Namespace) -> int:
     op = _op_id(args)
     body = {"op_id": op, "version": args.version, "reason": args.reason}
-    return _report(args, _door(args).post("/ops/withdraw", body), op)
+    return _print_result(
+        args, _make_client(args).post("/ops/withdraw", body), op
+    )
 
 
 def _bootstrap(args: argparse.Namespace) -> int:
-    answer = _door(args).post("/bootstrap", {})
-    return _report(args, answer, "bootstrap")
+    answer = _make_client(args).post("/bootstrap", {})
+    return _print_result(args, answer, "bootstrap")
 
 
 def _seat(args: argparse.Namespace) -> int:
-    answer = _door(args).post(f"/seats/{args.verb}/{args.name}", {})
-    return _report(args, answer, args.verb)
+    answer = _make_client(args).post(f"/seats/{args.verb}/{args.name}", {})
+    return _print_result(args, answer, args.verb)
 
 
 def _status(args: argparse.Namespace) -> int:
-    status = _door(args).get("/status")
+    status = _make_client(args).get("/status")
     if args.json:
         print(json.dumps(status, sort_keys=True))
         return 0
     print(f"newest version {status['head']}, leader {status['leader']}")
     roll = status["roll"]
     if roll:
-        state = "halted: " + roll["halted"] if roll["halted"] else "going on"
+        state = "halted: " + roll["halted"] if roll["halted"] else "in progress"
         if not roll["pending"]:
             state = "done"
         print(f"roll of version {roll['version']}: {state}")
@@ -221,7 +244,7 @@
             behind = (node["revision"] or 0) < found["revision"]
             print(
                 f"  {node['name']}: revision {node['revision']}"
-                f"{' BEHIND' if behind else ''}, heard "
+                f"{' BEHIND' if behind else ''}, last heartbeat "
                 f"{node['heard_s_ago']} s ago"
             )
     return 0
@@ -229,7 +252,7 @@
 
 def _diff(args: argparse.Namespace) -> int:
     new = model.read(args.file)
-    door = _door(args)
+    door = _make_client(args)
     version = args.version
     if version is None:
         version = door.get("/bundle/0")["head"]
@@ -248,7 +271,7 @@
 
 
 def _targets(args: argparse.Namespace) -> int:
-    members = _door(args).get("/targets")["members"]
+    members = _make_client(args).get("/targets")["members"]
     if args.json:
         print(json.dumps(members, sort_keys=True))
         return 0
--- a/jasperweir/cli/held.py
+++ b/jasperweir/cli/quarantine.py
@@ -1,4 +1,4 @@
-"""Commands on requests that are kept from targets."""
+"""Commands that list and release quarantined requests."""
 
 import argparse
 import json
@@ -17,18 +17,20 @@
 def add_commands(commands: Any) -> None:
     """Add the commands of this module to the parser."""
     held = commands.add_parser(
-        "held", help="requests under which targets ended"
+        "held", help="requests quarantined after target crashes"
     )
     verbs = held.add_subparsers(dest="verb", required=True)
-    show = verbs.add_parser("list", help="what is kept from targets")
-    lift = verbs.add_parser("lift", help="let requests go to targets again")
+    show = verbs.add_parser("list", help="list quarantined requests")
+    lift = verbs.add_parser("lift", help="release quarantined requests")
     for verb in (show, lift):
         verb.add_argument(
             "--entry", required=True, help="IP:PORT of an entry's metrics"
         )
     show.set_defaults(func=_list)
     which = lift.add_mutually_exclusive_group(required=True)
-    which.add_argument("--content", help="one request, as list names it")
+    which.add_argument(
+        "--content", help="content of one request, as list prints it"
+    )
     which.add_argument("--all", action="store_true")
     lift.set_defaults(func=_lift)
 
--- a/jasperweir/cli/report.py
+++ b/jasperweir/cli/report.py
@@ -1,4 +1,4 @@
-"""Commands that report service levels and experts."""
+"""Commands that report burn rates, expert maps and request outcomes."""
 
 import argparse
 import json
@@ -17,27 +17,31 @@
 
 def add_commands(commands: Any) -> None:
     """Add the commands of this module to the parser."""
-    report = commands.add_parser("report", help="service levels, experts")
+    report = commands.add_parser(
+        "report", help="burn rates, expert maps and request outcomes"
+    )
     kinds = report.add_subparsers(dest="kind", required=True)
-    burn = kinds.add_parser("burn", help="how fast error budgets burn")
+    burn = kinds.add_parser("burn", help="burn rates of error budgets")
     burn.add_argument(
         "--entries", required=True, help="IP:PORT of entries, comma-separated"
     )
     burn.add_argument("--json", action="store_true")
-    burn.add_argument("--page", type=pathlib.Path, help="write a page here")
+    burn.add_argument("--page", type=pathlib.Path, help="file for an HTML page")
     burn.set_defaults(func=_burn)
-    experts = kinds.add_parser("experts", help="skew, switches and moves")
+    experts = kinds.add_parser(
+        "experts", help="skew, switches and moves of experts"
+    )
     experts.add_argument(
         "--agents", required=True, help="IP:PORT of agents, comma-separated"
     )
     experts.add_argument("--json", action="store_true")
     experts.set_defaults(func=_experts)
-    requests = kinds.add_parser("requests", help="what became of requests")
+    requests = kinds.add_parser("requests", help="outcomes of requests")
     requests.add_argument(
         "logs",
         nargs="+",
         type=argparse.FileType("r"),
-        help="files, or - (a time in seconds may stand before each line)",
+        help="log files, or - (lines may start with a time in seconds)",
     )
     requests.add_argument(
         "--window",
@@ -58,7 +62,7 @@
             )
             found.append(resp.json())
         except (urllib3.exceptions.HTTPError, ValueError):
-            print(f"{address}: no answer", file=sys.stderr)
+            print(f"{address}: no response", file=sys.stderr)
     return found
 
 
--- a/jasperweir/cli/solo.py
+++ b/jasperweir/cli/solo.py
@@ -16,7 +16,7 @@
     sub.add_argument("--host", default="127.0.0.1")
     sub.add_argument("--port", type=int, default=DEFAULT_PORT)
     sub.add_argument(
-        "--seconds", type=float, default=0.0, help="stop by itself after this"
+        "--seconds", type=float, default=0.0, help="stop after this time"
     )
     sub.set_defaults(func=_run)
 
