--- a/jasperweir/client.py
+++ b/jasperweir/client.py
@@ -1,4 +1,4 @@
-"""Caller's library: asks for addresses, keeps them, fails over, resumes."""
+"""Client library with address discovery, failover and stream resumption."""
 
 import json
 import random
@@ -11,8 +11,8 @@
 
 from jasperweir.helpers import clocks
 
-CONNECT_SECONDS = 1.0
-MAX_TRIES = 4
+CONNECT_TIMEOUT_SECONDS = 1.0
+MAX_ATTEMPTS = 4
 DONE_MARK = b"[DONE]"
 CODE_HEADER = "Jasperweir-Code"
 OUTCOME_HEADER = "Jasperweir-Outcome"
@@ -20,18 +20,18 @@
 
 
 class Answer(NamedTuple):
-    """What a caller learnt of its request.
+    """Response to a request, with timing and attempts.
 
     Attributes:
-        code: Numbered result code, 0 if no entry answered at all.
-        outcome: completed, not_run, running or unknown.
+        code: Result code, 0 if no entry responded.
+        outcome: One of completed, not_run, running and unknown.
         status: HTTP status.
-        body: Whole answer, or the error object.
-        tries: Requests sent.
+        body: Response body, or the error object.
+        tries: Number of attempts.
         first_token_s: Seconds to the first byte of a stream.
         gaps_s: Seconds between the chunks of a stream.
-        error: What broke the connection, or empty.
-        earlier: What each try before the last one met.
+        error: Connection error of the last attempt, or empty.
+        earlier: Address and error of each earlier attempt.
     """
 
     code: int
@@ -45,7 +45,7 @@
     earlier: tuple[str, ...] = ()
 
     def text(self) -> str:
-        """Return the text of a streamed or whole completion."""
+        """Return the text of a completion, streamed or not."""
         if not self.body.startswith(b"data: "):
             choices = json.loads(self.body)["choices"]
             return str(choices[0]["message"]["content"])
@@ -59,10 +59,10 @@
 
 
 class Client:
-    """Call the system through whichever entries it names.
+    """Client that sends requests to the entries listed by the system.
 
     A request with an idempotency key is resent under that key until its
-    outcome is known, so it runs at most once whatever gets lost.
+    outcome is known, so it runs at most once even if responses get lost.
     """
 
     def __init__(
@@ -82,8 +82,8 @@
         self._http = urllib3.PoolManager(
             num_pools=32, maxsize=64, block=False, retries=False
         )
-        self._kept: list[tuple[str, int]] = []
-        self._kept_until = 0.0
+        self._addresses: list[tuple[str, int]] = []
+        self._addresses_expire_at = 0.0
 
     def complete(
         self,
@@ -95,7 +95,7 @@
         deadline_s: float = 30.0,
         **fields: Any,
     ) -> Answer:
-        """Ask a model for a completion."""
+        """Request a completion from a model."""
         body = {"model": model, "messages": messages, "stream": stream}
         body.update(fields)
         return self.call(
@@ -115,20 +115,21 @@
         key: str = "",
         deadline_s: float = 30.0,
     ) -> Answer:
-        """Send a request, to another entry if one cannot be reached."""
+        """Send a request, with failover to other entries."""
         deadline = clocks.elapsed() + deadline_s
         answer = Answer(0, "unknown", 0, b"", 0)
         avoid: set[str] = set()
-        # Tries that may have run; only the first such try may be called the
-        # first, so that an entry never says "not run" of a run it missed.
+        # Number of earlier attempts that may have run. An entry may report
+        # "not run" for attempt 1 only, so a retry after one of these is
+        # numbered higher.
         exposed = 0
         earlier: list[str] = []
-        for attempt in range(1, MAX_TRIES + 1):
+        for attempt in range(1, MAX_ATTEMPTS + 1):
             remaining = deadline - clocks.elapsed()
             if remaining <= 0:
                 break
-            address = self._address(avoid)
-            answer, again, wait = self._try(
+            address = self._choose_address(avoid)
+            answer, again, wait = self._send_once(
                 address, method, path, body, key, exposed + 1, remaining
             )
             answer = answer._replace(tries=attempt, earlier=tuple(earlier))
@@ -142,7 +143,7 @@
             time.sleep(pause)
         return answer
 
-    def _try(
+    def _send_once(
         self,
         address: str,
         method: str,
@@ -152,7 +153,7 @@
         attempt: int,
         remaining: float,
     ) -> tuple[Answer, bool, float]:
-        """Return the answer, whether to try again, and after how long."""
+        """Return the answer, whether to retry and the delay in seconds."""
         headers = {
             "Content-Type": "application/json",
             "Jasperweir-Customer": self._customer,
@@ -173,7 +174,7 @@
                 headers=headers,
                 preload_content=False,
                 timeout=urllib3.Timeout(
-                    connect=CONNECT_SECONDS, read=remaining + 2.0
+                    connect=CONNECT_TIMEOUT_SECONDS, read=remaining + 2.0
                 ),
             )
             run = resp.headers.get(RUN_HEADER, "")
@@ -182,11 +183,11 @@
                 received += chunk
             resp.release_conn()
         except urllib3.exceptions.HTTPError as exc:
-            self._kept_until = 0.0
+            self._addresses_expire_at = 0.0
             if run and received:
                 rest = self._resume(run, received, address)
                 if rest is not None:
-                    done = _answer(200, received + rest, attempt)
+                    done = _make_answer(200, received + rest, attempt)
                     return (
                         done._replace(code=1000, outcome="completed"),
                         (False),
@@ -195,7 +196,7 @@
             again = bool(key) or method == "GET" or not received
             broken = Answer(0, "unknown", 0, received, attempt)
             return broken._replace(error=repr(exc)), again, 0.05
-        answer = _answer(resp.status, received, attempt)._replace(
+        answer = _make_answer(resp.status, received, attempt)._replace(
             code=int(resp.headers.get(CODE_HEADER, "0")),
             outcome=resp.headers.get(OUTCOME_HEADER, "unknown"),
             first_token_s=times[0] - started if times else 0.0,
@@ -203,12 +204,12 @@
         )
         if resp.status < 400:
             return answer, False, 0.0
-        return (answer, *_advice(answer, key))
+        return (answer, *_retry_advice(answer, key))
 
     def _resume(self, run: str, received: bytes, failed: str) -> bytes | None:
-        """Read the rest of a broken stream through another entry."""
-        for _ in range(MAX_TRIES):
-            address = self._address({failed})
+        """Return the rest of a broken stream, read through another entry."""
+        for _ in range(MAX_ATTEMPTS):
+            address = self._choose_address({failed})
             url = f"http://{address}/v1/runs/{run}?offset={len(received)}"
             try:
                 resp = self._http.request("GET", url, timeout=30.0)
@@ -220,22 +221,22 @@
             return resp.data
         return None
 
-    def _address(self, avoid: set[str]) -> str:
-        if clocks.elapsed() >= self._kept_until:
-            self._refresh()
-        usable = [(a, w) for a, w in self._kept if a not in avoid]
+    def _choose_address(self, avoid: set[str]) -> str:
+        if clocks.elapsed() >= self._addresses_expire_at:
+            self._refresh_addresses()
+        usable = [(a, w) for a, w in self._addresses if a not in avoid]
         if not usable:
-            usable = self._kept
+            usable = self._addresses
         if not usable:
             return self._rng.choice(self._seeds)
         names = [a for a, _ in usable]
         weights = [w for _, w in usable]
         return self._rng.choices(names, weights)[0]
 
-    def _refresh(self) -> None:
+    def _refresh_addresses(self) -> None:
         salt = secrets.token_hex(4)
         query = f"place={self._place}&service={self._service}&salt={salt}"
-        candidates = [a for a, _ in self._kept] + self._seeds
+        candidates = [a for a, _ in self._addresses] + self._seeds
         self._rng.shuffle(candidates)
         for address in candidates:
             try:
@@ -248,19 +249,19 @@
             except (urllib3.exceptions.HTTPError, ValueError):
                 continue
             if resp.status == 200 and answer["addresses"]:
-                self._kept = [
+                self._addresses = [
                     (a["http"], a["weight"]) for a in answer["addresses"]
                 ]
-                self._kept_until = clocks.elapsed() + answer["ttl_s"]
+                self._addresses_expire_at = clocks.elapsed() + answer["ttl_s"]
                 return
 
 
-def _answer(status: int, body: bytes, tries: int) -> Answer:
+def _make_answer(status: int, body: bytes, tries: int) -> Answer:
     return Answer(0, "unknown", status, body, tries)
 
 
-def _advice(answer: Answer, key: str) -> tuple[bool, float]:
-    """Return whether the error's own words allow another try, and when."""
+def _retry_advice(answer: Answer, key: str) -> tuple[bool, float]:
+    """Return whether the error allows a retry, and its delay in seconds."""
     try:
         error = json.loads(answer.body)["error"]
     except (ValueError, KeyError):
--- a/jasperweir/core.py
+++ b/jasperweir/core.py
@@ -1,4 +1,4 @@
-"""Micro-kernel: services that find each other by name, events, lifecycle."""
+"""Kernel: service registry, event dispatch and lifecycle."""
 
 from collections.abc import Callable
 import random
@@ -16,12 +16,12 @@
 
 
 class Clock(Protocol):
-    """Source of time; decisions never read the system clock themselves."""
+    """Source of time, so that components can be tested on virtual time."""
 
     def monotonic(self) -> float:
-        """Return seconds that never go back, for timeouts and leases.
+        """Return monotonic seconds, for timeouts and leases.
 
-        They count suspensions of the VM as well.
+        They include the time for which the VM was suspended.
         """
 
     def wall(self) -> float:
@@ -29,10 +29,10 @@
 
 
 class SystemClock:
-    """Read the clocks of the operating system."""
+    """Clock of the operating system."""
 
     def monotonic(self) -> float:
-        """Return seconds since boot, suspensions of the VM included."""
+        """Return seconds since boot, including suspensions of the VM."""
         return clocks.elapsed()
 
     def wall(self) -> float:
@@ -41,7 +41,7 @@
 
 
 class ManualClock:
-    """Clock that moves only when told to, for tests and golden sessions."""
+    """Clock that advances only on request, for tests and replays."""
 
     def __init__(self, *, start: float = 0.0) -> None:
         self.now = start
@@ -55,7 +55,7 @@
         return self.now
 
     def advance(self, seconds: float) -> None:
-        """Move the clock forward."""
+        """Advance the clock by a number of seconds."""
         self.now += seconds
 
 
@@ -67,21 +67,21 @@
 
 
 class Service(Protocol):
-    """Something with a lifecycle that the kernel starts and stops."""
+    """Service whose lifecycle the kernel manages."""
 
     def start(self) -> None:
-        """Begin work."""
+        """Start the service."""
 
     def stop(self) -> None:
-        """End work and release resources."""
+        """Stop the service and release its resources."""
 
 
 class Kernel:
     """Registry of services by name with ordered start and stop.
 
     Attributes:
-        clock: Time source handed to every component.
-        rng: Seeded random source handed to every component.
+        clock: Time source of every component.
+        rng: Seeded random source of every component.
     """
 
     def __init__(self, *, clock: Clock, seed: int) -> None:
@@ -92,11 +92,11 @@
         self._listeners: dict[str, list[Callable[[Any], None]]] = {}
 
     def register(self, name: str, service: Any) -> None:
-        """Register a service under its name; the first one wins."""
+        """Register a service, unless the name is already registered."""
         self._services.setdefault(name, service)
 
     def get(self, name: str, kind: type[T]) -> T:
-        """Return the service of that name.
+        """Return the service registered under a name.
 
         Raises:
             ServiceNotFoundError: Nothing is registered under the name.
@@ -110,16 +110,16 @@
         return list(self._services)
 
     def listen(self, topic: str, callback: Callable[[Any], None]) -> None:
-        """Call back with each event that is fired on a topic."""
+        """Call `callback` with each event fired on a topic."""
         self._listeners.setdefault(topic, []).append(callback)
 
     def fire(self, topic: str, event: Any) -> None:
-        """Hand an event to every listener of a topic."""
+        """Pass an event to every listener of a topic."""
         for callback in self._listeners.get(topic, []):
             callback(event)
 
     def start(self) -> None:
-        """Start every service that has a lifecycle, in order."""
+        """Start the services with a lifecycle in order of registration."""
         for name, service in self._services.items():
             if not hasattr(service, "start"):
                 continue
@@ -127,6 +127,6 @@
             self._started.append(name)
 
     def stop(self) -> None:
-        """Stop started services, last one first."""
+        """Stop the started services in reverse order."""
         while self._started:
             self._services[self._started.pop()].stop()
--- a/jasperweir/exceptions.py
+++ b/jasperweir/exceptions.py
@@ -1,8 +1,8 @@
-"""Exceptions shared by all of jasperweir."""
+"""Exceptions shared by all modules."""
 
 
 class JasperweirError(Exception):
-    """Base of every error that jasperweir raises on purpose."""
+    """Base class of all errors that jasperweir raises."""
 
 
 class FrameError(JasperweirError):
@@ -10,10 +10,10 @@
 
 
 class SettingsError(JasperweirError):
-    """A settings or bundle file is wrong.
+    """A settings or bundle file is invalid.
 
     Attributes:
-        problems: One readable line per problem found.
+        problems: One message per problem.
     """
 
     def __init__(self, *, problems: list[str]) -> None:
@@ -22,7 +22,7 @@
 
 
 class StorageError(JasperweirError):
-    """The data folder cannot be used."""
+    """The data folder is not usable."""
 
 
 class LogCorruptError(StorageError):
--- a/jasperweir/result_codes.py
+++ b/jasperweir/result_codes.py
@@ -1,11 +1,11 @@
-"""Numbered result codes of every answer, with their meaning."""
+"""Result codes of responses, with HTTP status and meaning."""
 
 import enum
 from typing import NamedTuple
 
 
 class Outcome(enum.StrEnum):
-    """What a caller may conclude about the run of its request."""
+    """Whether a request ran, as far as its caller may conclude."""
 
     COMPLETED = "completed"
     NOT_RUN = "not_run"
@@ -14,7 +14,7 @@
 
 
 class Code(enum.IntEnum):
-    """Result codes; the hundreds give the family."""
+    """Result codes; the thousands digit is the category."""
 
     OK = 1000
     REPLAYED = 1001
@@ -69,12 +69,12 @@
 
 
 class Row(NamedTuple):
-    """One line of the table of result codes.
+    """Properties of a result code.
 
     Attributes:
         http: HTTP status that carries the code.
-        outcome: What the caller may conclude, None for operator answers.
-        retry: Whether the same request may be sent again.
+        outcome: Whether the request ran, None for operator responses.
+        retry: Whether the same request may be retried.
         text: Meaning in one sentence.
     """
 
