--- a/features/steps/process_steps.py
+++ b/features/steps/process_steps.py
@@ -26,7 +26,7 @@
 
 
 def build(context, keys="", group=False):
-    context.local = local_lib.Local(folder=context.folder)
+    context.local = local_lib.LocalDeployment(folder=context.folder)
     context.local.keys_file = keys
     write_bundle(context, 60)
     deployment.bring_up(context.local, context.bundle, group=group)
@@ -264,7 +264,7 @@
 @when("the operator removes and adds its seat")
 def reseat(context):
     deployment.change_seat(context.local, "remove", context.old)
-    context.local.seat(context.old)
+    context.local.add_seat(context.old)
 
 
 @then("it votes again and holds every version")
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -165,7 +165,7 @@
 
 @given('a running deployment whose engines end under "{text}" and come back')
 def step_own(context, text):
-    context.local = local_lib.Local(folder=context.folder)
+    context.local = local_lib.LocalDeployment(folder=context.folder)
     process_steps.write_bundle(context, 60)
     context.engines = respawn.Engines(context.local, ends_on=text)
     context.add_cleanup(context.engines.stop)
--- a/script/bench_control.py
+++ b/script/bench_control.py
@@ -67,10 +67,10 @@
         return False
 
 
-def deploy(voters: int) -> local_lib.Local:
+def deploy(voters: int) -> local_lib.LocalDeployment:
     """Start and found a quorum."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="jasperweir-bench-"))
-    local = local_lib.Local(folder=folder)
+    local = local_lib.LocalDeployment(folder=folder)
     for i in range(1, voters + 1):
         local.add(
             local_lib.NodeSpec(
@@ -87,7 +87,7 @@
     return local
 
 
-def leader(local: local_lib.Local) -> str:
+def leader(local: local_lib.LocalDeployment) -> str:
     """Return the name of the leader."""
     for name in local.procs:
         _, found = local.get(local.specs[name].http, "/status")
@@ -121,7 +121,7 @@
 
 
 def _without_leader(
-    local: local_lib.Local, operator: Operator
+    local: local_lib.LocalDeployment, operator: Operator
 ) -> dict[str, float]:
     gaps: dict[str, list[float]] = {"kill": [], "freeze": [], "stop": []}
     for _ in range(ROUNDS):
--- a/script/bench_entry.py
+++ b/script/bench_entry.py
@@ -156,7 +156,7 @@
     }
 
 
-def start(local: local_lib.Local, entries: int, threads: int) -> None:
+def start(local: local_lib.LocalDeployment, entries: int, threads: int) -> None:
     """Start one control VM, some entries and one agent of each kind."""
     local.add(
         local_lib.NodeSpec(
@@ -231,7 +231,7 @@
 def measure(entries: int, counts: list[int]) -> list[dict[str, Any]]:
     """Measure streams through some entry processes, and straight."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="jasperweir-bench-"))
-    local = local_lib.Local(folder=folder)
+    local = local_lib.LocalDeployment(folder=folder)
     rows = []
     try:
         start(local, entries, threads=700)
--- a/script/bench_group.py
+++ b/script/bench_group.py
@@ -23,7 +23,9 @@
 FIRST = "127.0.3.1:9000"
 
 
-def deploy(local: local_lib.Local, weight: float, rate: float) -> None:
+def deploy(
+    local: local_lib.LocalDeployment, weight: float, rate: float
+) -> None:
     """Start one control VM, one entry and two hosts of one group."""
     local.add(
         local_lib.NodeSpec(
@@ -69,7 +71,7 @@
     local.wait_for("steps", lambda: verdict(local)["steps"] > 100, 90)
 
 
-def verdict(local: local_lib.Local) -> dict[str, Any]:
+def verdict(local: local_lib.LocalDeployment) -> dict[str, Any]:
     """Return what the group counted."""
     found: dict[str, Any] = local.get(FIRST, "/verdict")[1]
     return found
@@ -78,7 +80,7 @@
 def measure(weight: float, rate: float, seconds: float) -> dict[str, Any]:
     """Run steadily, then lose a host and get it back."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="jasperweir-group-"))
-    local = local_lib.Local(folder=folder)
+    local = local_lib.LocalDeployment(folder=folder)
     try:
         deploy(local, weight, rate)
         before = verdict(local)
@@ -110,7 +112,7 @@
         local.stop_all()
 
 
-def _stands(local: local_lib.Local) -> bool:
+def _stands(local: local_lib.LocalDeployment) -> bool:
     count = verdict(local)["steps"]
     time.sleep(5 * STEP_S)
     return bool(verdict(local)["steps"] == count)
--- a/script/demo.py
+++ b/script/demo.py
@@ -21,7 +21,7 @@
 WORKERS = 24
 
 
-def build(local: local_lib.Local) -> None:
+def build(local: local_lib.LocalDeployment) -> None:
     """Describe three control, three entry and four agent processes."""
     for i, place in enumerate(PLACES, start=1):
         local.add(
@@ -78,7 +78,7 @@
     )
 
 
-def start(local: local_lib.Local) -> None:
+def start(local: local_lib.LocalDeployment) -> None:
     """Start everything and bring the bundle into force."""
     build(local)
     models = [f"127.0.3.{i}:9000" for i in (1, 2, 3)]
@@ -184,7 +184,9 @@
     return ranked[min(int(len(ranked) * share), len(ranked) - 1)] * 1000
 
 
-def ledger_problems(local: local_lib.Local, caller: Caller) -> list[str]:
+def ledger_problems(
+    local: local_lib.LocalDeployment, caller: Caller
+) -> list[str]:
     """Hold the service's own count of bookings against what was told."""
     _, ledger = local.get("127.0.3.4:9000", "/ledger")
     started: dict[str, Any] = ledger["started"]
@@ -195,7 +197,7 @@
     ] * bool(missing)
 
 
-def group_problems(local: local_lib.Local) -> list[str]:
+def group_problems(local: local_lib.LocalDeployment) -> list[str]:
     """Print what the groups did; return steps that broke the one-map rule."""
     problems = []
     for name, address in (("assist", "127.0.3.1"), ("night", "127.0.3.3")):
@@ -219,7 +221,7 @@
     parser.add_argument("--keep", action="store_true", help="keep the logs")
     args = parser.parse_args()
     folder = pathlib.Path(tempfile.mkdtemp(prefix="jasperweir-demo-"))
-    local = local_lib.Local(folder=folder)
+    local = local_lib.LocalDeployment(folder=folder)
     try:
         start(local)
         caller = Caller(seeds=local.entry_http())
--- a/script/slopes.py
+++ b/script/slopes.py
@@ -407,7 +407,7 @@
     """Measure real entries: bytes, processor, memory, time to follow."""
     rows = []
     folder = pathlib.Path(tempfile.mkdtemp(prefix="jasperweir-slopes-"))
-    local = local_lib.Local(folder=folder)
+    local = local_lib.LocalDeployment(folder=folder)
     try:
         for i in range(1, voters + 1):
             local.add(_spec("control", i, 1))
@@ -462,7 +462,9 @@
     )  # fmt: skip
 
 
-def _in_force(local: local_lib.Local, names: list[str], version: int) -> bool:
+def _in_force(
+    local: local_lib.LocalDeployment, names: list[str], version: int
+) -> bool:
     for name in names:
         _, found = local.get(local.specs[name].http, "/readyz")
         if not found or found["version"] != version:
@@ -471,7 +473,10 @@
 
 
 def _cost(
-    local: local_lib.Local, names: list[str], kind: str, seconds: float = 8.0
+    local: local_lib.LocalDeployment,
+    names: list[str],
+    kind: str,
+    seconds: float = 8.0,
 ) -> dict[str, float]:
     before = [_counters(local, name) for name in names]
     time.sleep(seconds)
@@ -490,7 +495,7 @@
     }
 
 
-def _counters(local: local_lib.Local, name: str) -> dict[str, float]:
+def _counters(local: local_lib.LocalDeployment, name: str) -> dict[str, float]:
     resp = local.http.request(
         "GET", f"http://{local.specs[name].http}/metrics", timeout=5.0
     )
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for what jasperweir meets; never part of the product."""
+"""Test doubles of the systems around jasperweir, not in the product."""
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Run stand-ins: ``python -m standins --model IP:PORT --plain IP:PORT``."""
+"""Run test doubles: ``python -m standins --model IP:PORT``."""
 
 import argparse
 import signal
@@ -13,7 +13,7 @@
 
 
 def main() -> None:
-    """Serve the stand-ins named on the command line until a signal."""
+    """Serve the test doubles given on the command line until a signal."""
     parser = argparse.ArgumentParser(prog="standins")
     parser.add_argument("--model", action="append", default=[])
     parser.add_argument("--plain", action="append", default=[])
@@ -21,7 +21,7 @@
         "--group",
         action="append",
         default=[],
-        help="addresses of --model, comma-separated, that form one group",
+        help="comma-separated --model addresses that form one group",
     )
     parser.add_argument("--layers", type=int, default=2)
     parser.add_argument("--ranks", type=int, default=4, help="per host")
@@ -67,7 +67,7 @@
 
 
 def _groups(args: argparse.Namespace) -> dict[str, list[web.Route]]:
-    """Return the group's routes for the address of each host."""
+    """Return the routes of the groups by host address."""
     routes: dict[str, list[web.Route]] = {}
     for number, text in enumerate(args.group):
         addresses = text.split(",")
--- a/standins/const.py
+++ b/standins/const.py
@@ -1,4 +1,4 @@
-"""Constants of the stand-ins."""
+"""Constants of the test doubles."""
 
 DEFAULT_TOKENS = 20
 DEFAULT_TOKEN_SECONDS = 0.01
@@ -8,5 +8,5 @@
 LOAD_LAG_SECONDS = 0.5
 EVENT_LAG_SECONDS = 1.0
 EVENT_LOSS = 0.2
-# A process ends this long after it began to run a request that ends it.
-END_SECONDS = 0.04
+# Delay between the start of a request that crashes the process and the crash.
+CRASH_DELAY_SECONDS = 0.04
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -1,4 +1,4 @@
-"""One small deployment in three places, as tests start it."""
+"""Test deployment in three data centres."""
 
 import pathlib
 from typing import Any
@@ -32,8 +32,8 @@
 """
 
 
-def describe(local: local_lib.Local, *, group: bool) -> None:
-    """Add three processes of each role; two agents may form a group."""
+def add_nodes(local: local_lib.LocalDeployment, *, group: bool) -> None:
+    """Add three nodes of each role; with `group`, two agents form a group."""
     for i, place in enumerate(PLACES, start=1):
         local.add(
             local_lib.NodeSpec(
@@ -65,9 +65,9 @@
 
 
 def bring_up(
-    local: local_lib.Local, bundle: pathlib.Path, *, group: bool
+    local: local_lib.LocalDeployment, bundle: pathlib.Path, *, group: bool
 ) -> None:
-    """Start everything, roll the bundle, wait until claims are owned."""
+    """Start test doubles and nodes, roll the bundle and wait for claims."""
     args = ["--model", MODELS[0], "--model", MODELS[1], "--slots", "64"]
     if group:
         args += ["--group", ",".join(MODELS), "--per-rank", "6"]
@@ -76,10 +76,10 @@
 
 
 def bring_up_nodes(
-    local: local_lib.Local, bundle: pathlib.Path, *, group: bool
+    local: local_lib.LocalDeployment, bundle: pathlib.Path, *, group: bool
 ) -> None:
-    """Do the same where the stand-ins run already."""
-    describe(local, group=group)
+    """Start the nodes, roll the bundle and wait for claims."""
+    add_nodes(local, group=group)
     local.start(*CONTROLS)
     local.bootstrap()
     others = [name for name in local.specs if name not in CONTROLS]
@@ -91,8 +91,8 @@
     local.wait_for("claims", lambda: claims_ready(local))
 
 
-def claims_ready(local: local_lib.Local) -> bool:
-    """Tell whether every entry is repaired and confirmed for claims."""
+def claims_ready(local: local_lib.LocalDeployment) -> bool:
+    """Return whether the claims of every entry are ready and confirmed."""
     states = [local.get(a, "/readyz")[1] for a in local.entry_http()]
     return all(
         s is not None
@@ -102,13 +102,13 @@
     )
 
 
-def status(local: local_lib.Local, name: str) -> Any:
-    """Return what a control VM says of itself, or None."""
+def status(local: local_lib.LocalDeployment, name: str) -> Any:
+    """Return the status of a control VM, or None if it is unreachable."""
     return local.get(local.specs[name].http, "/status")[1]
 
 
-def leader(local: local_lib.Local) -> str:
-    """Return the name of the leader, or an empty string."""
+def leader(local: local_lib.LocalDeployment) -> str:
+    """Return the name of the leader, empty if there is none."""
     for name in CONTROLS:
         found = status(local, name) if name in local.procs else None
         if found and found["role"] == "leader":
@@ -116,8 +116,8 @@
     return ""
 
 
-def change_seat(local: local_lib.Local, verb: str, name: str) -> None:
-    """Add or remove a seat and wait until that is accepted."""
+def change_seat(local: local_lib.LocalDeployment, verb: str, name: str) -> None:
+    """Add or remove a control VM and wait until it is accepted."""
 
     def done() -> bool:
         address = local.specs[leader(local) or CONTROLS[0]].http
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine that batches continuously."""
+"""Test double of a model engine with continuous batching."""
 
 import collections
 from collections.abc import Iterator
@@ -18,22 +18,23 @@
 
 
 class BrokenOffError(Exception):
-    """Closes the connection in the midst of an answer."""
+    """Raised to close the connection during a response."""
 
 
 def answer_text(prompt: str, tokens: int) -> str:
-    """Return the answer that the stand-in gives to a prompt."""
+    """Return the completion that the engine generates for a prompt."""
     digest = hashing.stable(prompt) & 0xFFFFFFFF
     return "".join(f"{digest:08x}-{i} " for i in range(tokens))
 
 
 class Engine:
-    """Serve the chat-completions shape at a fixed rate per stream.
+    """Chat completions engine with a fixed token rate per stream.
 
     Attributes:
-        ledger: Real executions, by the request's ``user`` field.
-        faults: Switches for failures.
-        fence: Highest fencing number seen.
+        ledger: Executions, by the request's ``user`` field.
+        faults: Injected faults.
+        fence: Highest fencing number received.
+        orders: Accepted orders.
     """
 
     def __init__(
@@ -45,15 +46,15 @@
         seed: int = 0,
         ends_on: bytes = b"",
     ) -> None:
-        """Begin with an empty cache.
+        """Create an engine with an empty cache.
 
         Args:
-            slots: Places in the batch.
-            token_seconds: Time of a token.
-            checks_fence: Whether orders with an old fencing number are refused.
-            seed: Seed of the cache events that get lost.
-            ends_on: The whole process ends when it runs a request whose body
-                holds this.
+            slots: Number of batch slots.
+            token_seconds: Time per token, seconds.
+            checks_fence: Whether orders with an old fence are rejected.
+            seed: Seed for the loss of cache events.
+            ends_on: Request body content that crashes the process, none if
+                empty.
         """
         self.ledger = ledger_lib.Ledger()
         self.faults = faults_lib.Faults()
@@ -75,7 +76,7 @@
         self._role = "both"
 
     def routes(self) -> list[web.Route]:
-        """Return the engine's HTTP interface."""
+        """Return the HTTP routes of the engine."""
         return [
             web.Route("POST", "/v1/chat/completions", self._complete),
             web.Route("GET", "/load", self._load),
@@ -100,15 +101,15 @@
         key = str(body.get("user", ""))
         self.ledger.started(key)
         if self._ends_on and self._ends_on in req.body:
-            threading.Timer(const.END_SECONDS, os._exit, (1,)).start()
+            threading.Timer(const.CRASH_DELAY_SECONDS, os._exit, (1,)).start()
         priority = int(req.header("jasperweir-priority", "5"))
         if body.get("stream"):
             headers = [("Content-Type", "text/event-stream")]
             stream = self._stream(prompt, tokens, fault, key, priority)
             return web.Resp(200, headers, stream)
-        return self._whole(prompt, tokens, fault, key, priority)
+        return self._complete_unstreamed(prompt, tokens, fault, key, priority)
 
-    def _whole(
+    def _complete_unstreamed(
         self,
         prompt: str,
         tokens: int,
@@ -116,7 +117,7 @@
         key: str,
         priority: int,
     ) -> web.Resp:
-        with _Slot(engine=self, priority=priority):
+        with _BatchSlot(engine=self, priority=priority):
             self._prefill(prompt, fault)
             time.sleep(tokens * self._token_seconds * fault.get("slow", 1))
             if "break_after" in fault:
@@ -136,7 +137,7 @@
     ) -> Iterator[bytes]:
         digest = f"{hashing.stable(prompt) & 0xFFFFFFFF:08x}"
         pause = self._token_seconds * fault.get("slow", 1)
-        with _Slot(engine=self, priority=priority):
+        with _BatchSlot(engine=self, priority=priority):
             self._prefill(prompt, fault)
             due = time.monotonic()
             for i in range(tokens):
@@ -149,14 +150,14 @@
         if "unmarked" not in fault:
             yield b"data: [DONE]\n\n"
 
-    def enter(self, priority: int) -> None:
-        """Wait for a place in the batch, the most urgent first."""
+    def acquire_slot(self, priority: int) -> None:
+        """Wait for a batch slot; 0 is the highest priority."""
         self._slots.acquire(priority)
         with self._lock:
             self._active += 1
 
-    def leave(self) -> None:
-        """Give the place back."""
+    def release_slot(self) -> None:
+        """Release the batch slot."""
         with self._lock:
             self._active -= 1
         self._slots.release()
@@ -180,7 +181,7 @@
     # Reports and orders.
 
     def _load(self, req: web.Req) -> web.Resp:
-        """Return the load as it was a while ago."""
+        """Return the load, up to `LOAD_LAG_SECONDS` old."""
         now = time.monotonic()
         at, active = self._reported
         if now - at >= const.LOAD_LAG_SECONDS:
@@ -239,18 +240,18 @@
         return web.json_resp(200, {})
 
 
-class _Slot:
-    """A place in the batch, held as a context."""
+class _BatchSlot:
+    """Context manager that occupies a batch slot."""
 
     def __init__(self, *, engine: Engine, priority: int) -> None:
         self._engine = engine
         self._priority = priority
 
     def __enter__(self) -> None:
-        self._engine.enter(self._priority)
+        self._engine.acquire_slot(self._priority)
 
     def __exit__(self, *exc: object) -> None:
-        self._engine.leave()
+        self._engine.release_slot()
 
 
 def _event(text: str) -> bytes:
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,16 +1,16 @@
-"""Faults that a test or a person can switch on."""
+"""Fault injection for the test doubles."""
 
 import threading
 from typing import Any
 
 
 class Faults:
-    """Named switches, set over HTTP or directly.
+    """Named fault settings, set over HTTP or directly.
 
-    Known names: ``break_after`` (chunks until the answer breaks off),
+    Names: ``break_after`` (chunks until the connection is closed),
     ``stall_s`` (seconds before the first byte), ``slow`` (factor on the time
-    per token), ``unmarked`` (end without the completeness mark), ``times``
-    (how many requests the fault hits; absent for all).
+    per token), ``unmarked`` (stream without its end marker) and ``times``
+    (number of requests affected, all if absent).
     """
 
     def __init__(self) -> None:
@@ -18,12 +18,12 @@
         self._lock = threading.Lock()
 
     def set(self, values: dict[str, Any]) -> None:
-        """Replace all switches."""
+        """Replace all fault settings."""
         with self._lock:
             self._values = {k: float(v) for k, v in values.items()}
 
     def take(self) -> dict[str, float]:
-        """Return the switches for one request."""
+        """Return the fault settings for one request and count it."""
         with self._lock:
             if not self._values:
                 return {}
--- a/standins/group.py
+++ b/standins/group.py
@@ -1,4 +1,4 @@
-"""Stand-in for a group of ranks that advance in lock-step."""
+"""Test double of an expert group whose ranks run in lock-step."""
 
 import json
 import threading
@@ -20,7 +20,7 @@
 
 
 class Sizes(NamedTuple):
-    """Size of a group."""
+    """Dimensions of a group; `per_rank` is the number of slots per rank."""
 
     layers: int
     hosts: int
@@ -30,7 +30,7 @@
 
 
 class Host:
-    """The ranks of one target VM, with what they were told."""
+    """Ranks of one target VM, with their loaded maps and step grants."""
 
     def __init__(self, *, ranks: range) -> None:
         self.ranks = ranks
@@ -39,14 +39,14 @@
         self.current: messages.Map | None = None
 
     def version_for(self, step: int) -> int | None:
-        """Return the map version under which a step is granted."""
+        """Return the map version granted for a step, or None."""
         for version, first, last in self.grants:
             if first <= step <= last:
                 return version
         return None
 
     def next_step(self, done: int) -> int | None:
-        """Return the next granted step after one."""
+        """Return the first granted step after `done`, or None."""
         if self.version_for(done + 1) is not None:
             return done + 1
         later = [first for _, first, _ in self.grants if first > done]
@@ -54,11 +54,11 @@
 
 
 class Group:
-    """Lock-step loop over all hosts; it checks every step's maps.
+    """Lock-step loop over all hosts that checks the map of every step.
 
     Attributes:
-        violations: Steps in which ranks were on different maps, or without
-            the weights. There must be none.
+        violations: Steps in which hosts had different maps or missing
+            weights; any of them is a fault.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
         threading.Thread(target=self._run, name="group", daemon=True).start()
 
     def routes(self, number: int) -> list[web.Route]:
-        """Return the HTTP interface of one host's engine."""
+        """Return the HTTP routes of one host's engine."""
         host = self.hosts[number]
         return [
             web.Route("GET", "/group", lambda req: self._shape(host)),
@@ -119,7 +119,7 @@
         )
 
     def _report(self) -> web.Resp:
-        """Return counts since the last report; some reports get lost."""
+        """Return the counts since the last report; some are lost on purpose."""
         with self._lock:
             counts = self._counts.tolist()
             lost = self._rng.random() < REPORT_LOSS
--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -1,11 +1,11 @@
-"""Count real executions, to hold against what callers were told."""
+"""Counts of executions, to compare with the responses to callers."""
 
 import collections
 import threading
 
 
 class Ledger:
-    """Executions by the id that the caller put into its request."""
+    """Counts of executions by the id in the request."""
 
     def __init__(self) -> None:
         self._started: collections.Counter[str] = collections.Counter()
@@ -13,17 +13,17 @@
         self._lock = threading.Lock()
 
     def started(self, key: str) -> None:
-        """Note that an execution began."""
+        """Record that an execution started."""
         with self._lock:
             self._started[key] += 1
 
     def finished(self, key: str) -> None:
-        """Note that an execution reached its end."""
+        """Record that an execution finished."""
         with self._lock:
             self._finished[key] += 1
 
     def counts(self) -> dict[str, dict[str, int]]:
-        """Return all counts."""
+        """Return the counts by id."""
         with self._lock:
             return {
                 "started": dict(self._started),
--- a/standins/local.py
+++ b/standins/local.py
@@ -1,4 +1,4 @@
-"""Run a whole deployment as processes on loopback, for demos and tests."""
+"""Deployment of local processes, for demos and tests."""
 
 import hashlib
 import json
@@ -19,7 +19,7 @@
 
 
 class NodeSpec(NamedTuple):
-    """One process to run.
+    """Process to run.
 
     Attributes:
         role: control, entry or agent.
@@ -36,11 +36,11 @@
     max_streams: int = 256
 
 
-class Local:
-    """Start, watch, freeze, kill and stop processes by their ids.
+class LocalDeployment:
+    """Processes of a deployment on loopback addresses.
 
     Attributes:
-        folder: Settings, data and logs of all processes.
+        folder: Folder for the settings, data and logs of all processes.
         procs: Running processes by name.
     """
 
@@ -55,7 +55,7 @@
         folder.mkdir(parents=True, exist_ok=True)
 
     def add(self, *specs: NodeSpec) -> None:
-        """Add processes; their settings are written when they start."""
+        """Add processes without starting them."""
         for spec in specs:
             self.specs[spec.name] = spec
 
@@ -68,7 +68,7 @@
         return [s.http for s in self.specs.values() if s.role == "entry"]
 
     def start(self, *names: str) -> None:
-        """Start processes of the product."""
+        """Write the settings of nodes and start them."""
         for name in names:
             spec = self.specs[name]
             path = self.folder / f"{name}.ini"
@@ -77,11 +77,15 @@
             self._spawn(name, command)
 
     def start_standins(self, name: str, *args: str) -> None:
-        """Start a process of stand-ins."""
+        """Start a process that runs test doubles."""
         self._spawn(name, ["-m", "standins", *args])
 
     def cli(self, *args: str) -> dict[str, Any]:
-        """Run an operator's command and return its JSON answer."""
+        """Run an operator command and return its JSON output.
+
+        Raises:
+            RuntimeError: The command printed no output.
+        """
         control = ",".join(self.control_http())
         env = {**os.environ, "JASPERWEIR_TOKEN": TOKEN}
         done = subprocess.run(
@@ -98,7 +102,7 @@
         return found
 
     def get(self, address: str, path: str) -> tuple[int, Any]:
-        """Return status and JSON of a path, or (0, None)."""
+        """Return status and JSON of a path, or (0, None) on failure."""
         try:
             resp = self.http.request(
                 "GET", f"http://{address}{path}", timeout=2.0
@@ -110,10 +114,10 @@
     def wait_for(
         self, what: str, check: Any, seconds: float = START_SECONDS
     ) -> float:
-        """Wait until a check holds; return how long it took.
+        """Wait until a check holds; return the time in seconds.
 
         Raises:
-            TimeoutError: It did not hold in time.
+            TimeoutError: The check did not hold in time.
         """
         start = time.monotonic()
         while time.monotonic() - start < seconds:
@@ -123,14 +127,14 @@
         raise TimeoutError(f"{what} not reached in {seconds} s")
 
     def ready(self, *names: str) -> bool:
-        """Tell whether all named processes say that they are ready."""
+        """Return whether all named processes report that they are ready."""
         return all(
             self.get(self.specs[name].http, "/readyz")[0] == 200
             for name in names
         )
 
     def bootstrap(self) -> None:
-        """Found the log on the first control VM and seat the others."""
+        """Bootstrap the log on the first control VM and add the others."""
         controls = [s for s in self.specs.values() if s.role == "control"]
         first = controls[0]
 
@@ -150,10 +154,10 @@
         self.wait_for("bootstrap", founded)
         self.wait_for("leader", lambda: self.ready(first.name))
         for spec in controls[1:]:
-            self.seat(spec.name)
+            self.add_seat(spec.name)
 
-    def seat(self, name: str) -> None:
-        """Add a control VM and wait until it votes."""
+    def add_seat(self, name: str) -> None:
+        """Add a control VM and wait until it is a voter."""
 
         def seated() -> bool:
             for address in self.control_http():
@@ -173,24 +177,24 @@
         self.wait_for(f"seat of {name}", seated)
 
     def signal(self, name: str, number: int) -> None:
-        """Send a signal to a process that this object started."""
+        """Send a signal to a running process."""
         self.procs[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kill a process at once."""
+        """Kill a process, also if it is suspended."""
         proc = self.procs.pop(name)
         proc.send_signal(signal.SIGCONT)
         proc.kill()
         proc.wait(timeout=STOP_SECONDS)
 
     def stop(self, name: str, seconds: float = STOP_SECONDS) -> int:
-        """Ask a process for a planned stop; return its exit code."""
+        """Terminate a process and return its exit code."""
         proc = self.procs.pop(name)
         proc.terminate()
         return proc.wait(timeout=seconds)
 
     def stop_all(self) -> None:
-        """End every process that is still running."""
+        """Kill every process that is still running."""
         for proc in self.procs.values():
             proc.send_signal(signal.SIGCONT)
             proc.kill()
--- a/standins/plain.py
+++ b/standins/plain.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service whose bookings must not be repeated."""
+"""Test double of a plain service with non-idempotent bookings."""
 
 import json
 import threading
@@ -11,11 +11,11 @@
 
 
 class Plain:
-    """Serve slot look-ups and bookings.
+    """Service for time slot queries and bookings.
 
     Attributes:
-        ledger: Real bookings, by the booking's ``id`` field.
-        faults: Switches for failures.
+        ledger: Executed bookings, by their ``id`` field.
+        faults: Injected faults.
     """
 
     def __init__(self, *, seconds: float = 0.005) -> None:
@@ -26,7 +26,7 @@
         self._active = 0
 
     def routes(self) -> list[web.Route]:
-        """Return the service's HTTP interface."""
+        """Return the HTTP routes of the service."""
         return [
             web.Route("GET", "/slots", self._slots),
             web.Route("POST", "/book", self._book),
--- a/standins/platform_target.py
+++ b/standins/platform_target.py
@@ -1,7 +1,7 @@
-"""A target that speaks the users' platform, for tests without their kit.
+"""Test double of a target on the users' platform.
 
-It announces itself, runs plain requests and streams of events, can break a
-stream off midway, refuse, or end under a request, and records what ran.
+It sends heartbeats, serves plain requests and event streams, records requests
+and can break a stream, reject requests or crash on a request.
 """
 
 import argparse
@@ -16,12 +16,12 @@
 
 from standins import const
 
-BEAT_SECONDS = 0.5
+HEARTBEAT_SECONDS = 0.5
 EVENT_SECONDS = 0.03
 
 
 class State:
-    """What the stand-in is told to do, and what it has seen."""
+    """Configured behaviour and recorded requests, set and read by tests."""
 
     def __init__(
         self,
@@ -31,13 +31,13 @@
         ends_on: bytes = b"",
         ends_file: str = "",
     ) -> None:
-        """Begin with nothing seen.
+        """Create a state without requests.
 
         Args:
-            target_id: Its id.
-            events: Events of a stream.
-            ends_on: It ends when it runs a request whose body holds this.
-            ends_file: Where it then writes which body that was.
+            target_id: Id of the target.
+            events: Number of events in a stream.
+            ends_on: Request body content that crashes the process.
+            ends_file: File that gets the body of the crashing request.
         """
         self.target_id = target_id
         self.events = events
@@ -45,19 +45,19 @@
         self.ends_file = ends_file
         self.break_after = 0
         self.refuse = False
-        # Headers that it adds: seconds of rest to refusals, requests a second,
-        # and whether it leaves.
+        # Response headers: Retry-After of rejections in seconds, limit in
+        # requests per second, and whether the target is draining.
         self.rest = ""
         self.limit = ""
         self.leaving = ""
-        # Requests that came, those that were refused and what was asked with
-        # each answer: seconds of the machine's clock and ids.
+        # Received requests, rejected requests and the backpressure headers of
+        # each response, with monotonic time in seconds and attempt id.
         self.arrivals: list[tuple[float, str]] = []
         self.refused: list[tuple[float, str]] = []
         self.asked: list[tuple[float, str, dict[str, str]]] = []
-        # Events that a stream sends before it ends its target.
+        # Number of events sent before a streamed request crashes the target.
         self.events_before_end = 0
-        # Plain requests that still run and whose answers get lost.
+        # Number of plain requests to run without sending the response.
         self.lose_answers = 0
         self.presence = "ready"
         self.sequence = 0
@@ -67,7 +67,7 @@
 
 
 class Handler(http.server.BaseHTTPRequestHandler):
-    """Requests of entries, and ``/told`` of the test."""
+    """HTTP handler for entries, and for ``/tell`` and ``/told`` of tests."""
 
     protocol_version = "HTTP/1.1"
     state: State
@@ -79,7 +79,7 @@
             told = {"runs": state.runs, "seen": state.seen}
             told |= {"arrivals": state.arrivals, "refused": state.refused}
             told |= {"asked": state.asked}
-            self._json(told)
+            self._send_json(told)
             return
         self._serve(b"")
 
@@ -89,23 +89,23 @@
         if self.path == "/tell":
             for key, value in json.loads(body).items():
                 setattr(self.state, key, value)
-            self._json({})
+            self._send_json({})
             return
         self._serve(body)
 
     def handle(self) -> None:
-        """Serve a connection; a caller that leaves is no error."""
+        """Serve a connection, ignoring disconnects of the caller."""
         with contextlib.suppress(ConnectionError):
             super().handle()
 
     def log_message(self, format: str, *args: object) -> None:
-        """Keep quiet."""
+        """Suppress the request log."""
 
     def _serve(self, body: bytes) -> None:
         state = self.state
         meant = self.headers.get("Target-Instance")
         if meant and meant != state.target_id:
-            self._plain(421, b"", signed=False)
+            self._send_plain(421, b"", signed=False)
             return
         came = (time.monotonic(), self.headers.get("Attempt-Id", ""))
         state.arrivals.append(came)
@@ -118,13 +118,13 @@
             state.asked.append((*came, asked))
         if state.refuse:
             state.refused.append(came)
-            self._plain(503, b"", signed=False, not_run=True)
+            self._send_plain(503, b"", signed=False, not_run=True)
             return
         with state.lock:
             state.runs.append(self.headers.get("Attempt-Id", ""))
             state.seen.append({k.lower(): v for k, v in self.headers.items()})
         if state.ends_on and state.ends_on in body:
-            self._end(body)
+            self._crash(body)
         if "/stream/" in self.path:
             self._stream()
             return
@@ -132,28 +132,28 @@
             state.lose_answers -= 1
             self.close_connection = True
             return
-        self._plain(200, b"ran " + body, signed=True)
+        self._send_plain(200, b"ran " + body, signed=True)
 
-    def _end(self, body: bytes) -> None:
-        """End the whole process, as one that crashes does."""
+    def _crash(self, body: bytes) -> None:
+        """Exit the process without cleanup, like a crash."""
         if "/stream/" in self.path:
             self.send_response(200)
-            self._marks(True)
+            self._send_platform_headers(True)
             self.send_header("Transfer-Encoding", "chunked")
             self.end_headers()
             for number in range(1, self.state.events_before_end + 1):
                 self._chunk(f"id: {number}\ndata: piece {number}\n\n".encode())
                 time.sleep(EVENT_SECONDS)
-        time.sleep(const.END_SECONDS)
+        time.sleep(const.CRASH_DELAY_SECONDS)
         with open(self.state.ends_file, "ab", buffering=0) as file:
             file.write(body + b"\n")
         os._exit(1)
 
-    def _plain(
+    def _send_plain(
         self, status: int, body: bytes, *, signed: bool, not_run: bool = False
     ) -> None:
         self.send_response(status)
-        self._marks(signed)
+        self._send_platform_headers(signed)
         if not_run:
             self.send_header("Not-Executed", "1")
             if self.state.rest:
@@ -166,15 +166,15 @@
         state = self.state
         first = int(self.headers.get("Last-Event-Id") or 0) + 1
         self.send_response(200)
-        self._marks(True)
+        self._send_platform_headers(True)
         self.send_header("Content-Type", "text/event-stream")
         self.send_header("Transfer-Encoding", "chunked")
         self.end_headers()
         for number in range(first, state.events + 1):
-            # Only a stream from the start breaks off, not its resumed rest.
+            # Only a new stream is broken, not a resumed one.
             if first == 1 and 0 < state.break_after < number:
                 state.break_after = 0
-                # The middle of an event, then nothing more.
+                # The stream ends in the middle of an event.
                 self._chunk(f"id: {number}\nda".encode())
                 self.close_connection = True
                 self.connection.close()
@@ -187,7 +187,7 @@
         self.wfile.write(b"%x\r\n%b\r\n" % (len(data), data))
         self.wfile.flush()
 
-    def _marks(self, signed: bool) -> None:
+    def _send_platform_headers(self, signed: bool) -> None:
         self.send_header("Attempt-Id", self.headers.get("Attempt-Id", ""))
         if self.state.limit:
             self.send_header("Server-Limit", self.state.limit)
@@ -196,7 +196,7 @@
         if signed:
             self.send_header("Server-Signature", f"{self.state.target_id}.1")
 
-    def _json(self, value: object) -> None:
+    def _send_json(self, value: object) -> None:
         body = json.dumps(value).encode()
         self.send_response(200)
         self.send_header("Content-Length", str(len(body)))
@@ -207,7 +207,7 @@
 def announce(
     state: State, service: str, address: str, controls: list[str]
 ) -> None:
-    """Send heartbeats to the first control VM that answers."""
+    """Send heartbeats to the first control VM that responds."""
     while True:
         state.sequence += 1
         beat = {
@@ -230,7 +230,7 @@
                     break
             except (OSError, urllib.error.URLError):
                 continue
-        time.sleep(BEAT_SECONDS)
+        time.sleep(HEARTBEAT_SECONDS)
 
 
 def main() -> None:
--- a/standins/slots.py
+++ b/standins/slots.py
@@ -1,11 +1,11 @@
-"""Places in a batch, given to the most urgent first."""
+"""Semaphore for batch slots, with priorities."""
 
 import heapq
 import threading
 
 
 class PrioritySlots:
-    """A semaphore whose waiters are served by priority, then by order."""
+    """Semaphore that serves waiters by priority, then in arrival order."""
 
     def __init__(self, *, count: int) -> None:
         self._free = count
@@ -14,7 +14,7 @@
         self._lock = threading.Lock()
 
     def acquire(self, priority: int) -> None:
-        """Wait for a place; 0 is the most urgent."""
+        """Wait for a slot; 0 is the highest priority."""
         with self._lock:
             if self._free and not self._waiting:
                 self._free -= 1
@@ -25,7 +25,7 @@
         turn.wait()
 
     def release(self) -> None:
-        """Hand the place to the next, or set it free."""
+        """Pass the slot to the next waiter, or free it."""
         with self._lock:
             if self._waiting:
                 heapq.heappop(self._waiting)[2].set()
--- a/standins/weight_store.py
+++ b/standins/weight_store.py
@@ -1,11 +1,15 @@
-"""Stand-in for the weight store: so many experts a second, no more."""
+"""Test double of a weight store with a limited read rate."""
 
 import threading
 import time
 
 
 class WeightStore:
-    """Hand out experts at a limited rate, to all hosts together."""
+    """Weight store whose read rate is shared by all hosts.
+
+    Attributes:
+        loads: Number of experts read.
+    """
 
     def __init__(self, *, per_second: float) -> None:
         self._per_second = per_second
@@ -14,7 +18,7 @@
         self.loads = 0
 
     def load(self, experts: int) -> None:
-        """Wait until that many experts have been read."""
+        """Block for the time that reading `experts` experts takes."""
         with self._lock:
             start = max(time.monotonic(), self._free_at)
             self._free_at = start + experts / self._per_second
