--- a/features/steps/outcomes_steps.py
+++ b/features/steps/outcomes_steps.py
@@ -61,12 +61,12 @@
 
 @then("the worst window begins at {begins:g} s")
 def step_worst(context, begins):
-    assert context.summary.worst()[0].begins == begins
+    assert context.summary.list_worst()[0].begins == begins
 
 
 @then('it names "{one}" and "{other}"')
 def step_state_changes(context, one, other):
-    assert set(context.summary.worst()[0].changes) == {one, other}
+    assert set(context.summary.list_worst()[0].changes) == {one, other}
 
 
 @given(
--- a/features/steps/parts_steps.py
+++ b/features/steps/parts_steps.py
@@ -75,7 +75,7 @@
     buf.set_head(200, "text/plain")
     for chunk in (b"abcd", b"efgh", b"ij"):
         buf.append(chunk)
-    buf.end(whole=True)
+    buf.finish(whole=True)
     for thread in threads:
         thread.join(10)
     assert found == {0: b"abcdefghij", 3: b"defghij", 7: b"hij"}, found
@@ -160,7 +160,7 @@
         for i in range(50):
             verdict = "late_first_token" if i < 5 else "good"
             counts.add("s", "opera", verdict, 1000.0)
-        cells = [c._asdict() for c in counts.cells(60.0, 1000.0)]
+        cells = [c._asdict() for c in counts.list_cells(60.0, 1000.0)]
         answers.append(
             {"node": node, "objectives": {"s": 0.95}, "cells": cells}
         )
@@ -169,8 +169,8 @@
     assert (whole.total, whole.bad) == (100, 10)
     assert abs(whole.burn - 2.0) < 1e-9 and whole.budget_left == 0.0
     assert whole.causes == [("late_first_token", 10)]
-    assert "opera" in report.as_text(lines)
-    assert "<svg" in report.as_page(lines)
+    assert "opera" in report.format_text(lines)
+    assert "<svg" in report.format_page(lines)
 
 
 def check_codes_documented():
--- a/jasperweir/cli/report.py
+++ b/jasperweir/cli/report.py
@@ -72,11 +72,11 @@
         return EXIT_UNREACHABLE
     lines = burn_report.merge(answers)
     if args.page:
-        args.page.write_text(burn_report.as_page(lines), encoding="utf-8")
+        args.page.write_text(burn_report.format_page(lines), encoding="utf-8")
     if args.json:
         print(json.dumps([line._asdict() for line in lines]))
     else:
-        print(burn_report.as_text(lines), end="")
+        print(burn_report.format_text(lines), end="")
     return 0
 
 
@@ -84,7 +84,7 @@
     summary = summary_lib.Summary(window_s=args.window)
     for log in args.logs:
         summary.add(log)
-    print(summary_lib.as_text(summary), end="")
+    print(summary_lib.format_text(summary), end="")
     return 0
 
 
--- a/jasperweir/components/agent/response_buffer.py
+++ b/jasperweir/components/agent/response_buffer.py
@@ -31,7 +31,7 @@
         return self._whole
 
     @property
-    def ended(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether the response is finished, complete or not."""
         return self._ended
 
@@ -49,7 +49,7 @@
             with self._cond:
                 self._cond.notify_all()
 
-    def end(self, *, whole: bool) -> None:
+    def finish(self, *, whole: bool) -> None:
         """Mark the response as finished and wake waiting readers."""
         with self._cond:
             self._whole = whole
--- a/jasperweir/components/agent/run_executor.py
+++ b/jasperweir/components/agent/run_executor.py
@@ -90,20 +90,20 @@
                 self._buffers[rid] = response_buffer.ResponseBuffer()
             return verdict
 
-    def buffer(self, rid: str) -> response_buffer.ResponseBuffer | None:
+    def get_buffer(self, rid: str) -> response_buffer.ResponseBuffer | None:
         """Return the response buffer of a started run, None if expired."""
         return self._buffers.get(rid)
 
-    def state(self, rid: str) -> run_table_lib.State | None:
+    def get_state(self, rid: str) -> run_table_lib.State | None:
         """Return the state of a run id, None if it is unknown."""
         run = self._table.get(rid)
         return run.state if run else None
 
-    def active(self) -> int:
+    def count_active(self) -> int:
         """Return the number of reserved and running requests."""
         return self._table.active()
 
-    def open(self, rid: str, call: Call) -> Iterator[bytes]:
+    def send(self, rid: str, call: Call) -> Iterator[bytes]:
         """Send the request and return an iterator that reads the response.
 
         The run's buffer has the status and content type when this returns.
@@ -233,7 +233,7 @@
             if rid not in self._cancelled:
                 buf.crash_number = self._crashes.detect_crash()
         finally:
-            if not buf.ended:
+            if not buf.is_finished:
                 self._end_pull(rid, buf, resp, whole=whole, size=size)
 
     def _end_pull(
@@ -259,7 +259,7 @@
     def _finish(
         self, rid: str, buf: response_buffer.ResponseBuffer, *, whole: bool
     ) -> None:
-        buf.end(whole=whole)
+        buf.finish(whole=whole)
         with self._lock:
             self._table.finish(rid, self._now(), whole=whole)
 
--- a/jasperweir/components/burn/report.py
+++ b/jasperweir/components/burn/report.py
@@ -76,7 +76,7 @@
     )
 
 
-def as_text(lines: list[Line]) -> str:
+def format_text(lines: list[Line]) -> str:
     """Return the report as a table."""
     out = io.StringIO()
     out.write(
@@ -95,7 +95,7 @@
     return out.getvalue()
 
 
-def as_page(lines: list[Line]) -> str:
+def format_page(lines: list[Line]) -> str:
     """Return the report as one page that needs nothing else."""
     rows = "".join(_row(line) for line in lines)
     return (
--- a/jasperweir/components/burn/windows.py
+++ b/jasperweir/components/burn/windows.py
@@ -35,7 +35,7 @@
                 self._buckets.popleft()
         self._buckets[-1][1][(service, customer, verdict)] += 1
 
-    def cells(self, window: float, now: float) -> list[Cell]:
+    def list_cells(self, window: float, now: float) -> list[Cell]:
         """Return the counts of the last `window` seconds."""
         oldest = int((now - window) // const.BUCKET_SECONDS)
         totals: dict[tuple[str, str], collections.Counter[str]] = {}
@@ -55,7 +55,7 @@
     ) -> float:
         """Return the highest burn rate of a service in the shortest window."""
         by_service: dict[str, collections.Counter[str]] = {}
-        for cell in self.cells(const.SHORTEST_WINDOW_SECONDS, now):
+        for cell in self.list_cells(const.SHORTEST_WINDOW_SECONDS, now):
             counts = by_service.setdefault(cell.service, collections.Counter())
             counts.update(cell.counts)
         worst = 0.0
--- a/jasperweir/components/outcomes/summary.py
+++ b/jasperweir/components/outcomes/summary.py
@@ -54,13 +54,13 @@
                     what = f"{change.event} {change.detail}".strip()
                     self._window(change.at).changes[what] += 1
 
-    def windows(self) -> list[Window]:
+    def list_windows(self) -> list[Window]:
         """Return all windows in order of time."""
         return [self._windows[n] for n in sorted(self._windows)]
 
-    def worst(self, count: int = const.WORST_WINDOWS) -> list[Window]:
+    def list_worst(self, count: int = const.WORST_WINDOWS) -> list[Window]:
         """Return the windows with the lowest share of requests on time."""
-        asked = [w for w in self.windows() if w.counts.total()]
+        asked = [w for w in self.list_windows() if w.counts.total()]
         return sorted(asked, key=_in_time_share)[:count]
 
     def _add_ended(self, ended: lines_lib.EndedRequest) -> None:
@@ -82,7 +82,7 @@
     return window.counts[Outcome.IN_TIME] / window.counts.total()
 
 
-def as_text(summary: Summary) -> str:
+def format_text(summary: Summary) -> str:
     """Return the report as a page of text."""
     out = [_row("route", [o.value for o in Outcome])]
     for name in sorted(summary.routes):
@@ -94,7 +94,7 @@
         out.append(f"  {count:6} {detail}")
     out.append("")
     out.append("worst windows and their state changes:")
-    for window in summary.worst():
+    for window in summary.list_worst():
         out.append(_counts_row(f"{window.begins:.0f} s", window.counts))
         for what, count in window.changes.most_common(const.WORST_WINDOWS):
             out.append(f"  {count:6} {what}")
--- a/jasperweir/daemons/agent.py
+++ b/jasperweir/daemons/agent.py
@@ -138,7 +138,7 @@
     def _wait_for_runs(self) -> None:
         deadline = clocks.elapsed() + self._drain_s
         time.sleep(LEAVE_SETTLE_SECONDS)
-        while self.executor.active() and clocks.elapsed() < deadline:
+        while self.executor.count_active() and clocks.elapsed() < deadline:
             time.sleep(0.1)
         self.host.runner.call(
             lambda: self._perform(self.agent.announcer.announce_left())
@@ -149,7 +149,7 @@
     def wait(self) -> int:
         """Wait for the end, close everything, return the exit code."""
         self._done.wait()
-        cut = self.executor.active()
+        cut = self.executor.count_active()
         self.host.log.info(f"stopped, runs cut off: {cut}")
         self._server.stop()
         self.side.stop()
@@ -314,10 +314,10 @@
             },
         )
         try:
-            pull = self.executor.open(rid, call)
+            pull = self.executor.send(rid, call)
         except run_executor.BrokenAnswerError as exc:
             self.host.metrics.inc("runs_broken")
-            broken = self.executor.buffer(rid)
+            broken = self.executor.get_buffer(rid)
             return self._broken(502, str(exc), broken)
         self.host.metrics.inc("runs_started")
         return self._answer(rid, self.executor.read_while_pulling(rid, pull))
@@ -332,8 +332,8 @@
         return self._attach(rid, int(offset))
 
     def _attach(self, rid: str, offset: int) -> web.Resp:
-        buf = self.executor.buffer(rid)
-        state = self.executor.state(rid)
+        buf = self.executor.get_buffer(rid)
+        state = self.executor.get_state(rid)
         if buf is None:
             if state in (run_table_lib.State.DONE, run_table_lib.State.BROKEN):
                 return self._small(410, "answer dropped")
@@ -341,13 +341,13 @@
             return self._small(404, reason)
         if not buf.wait_head(run_executor.HEAD_WAIT_SECONDS):
             return self._broken(410, "broken", buf)
-        if buf.ended and not buf.is_complete:
+        if buf.is_finished and not buf.is_complete:
             return self._broken(410, "broken", buf)
         self.host.metrics.inc("runs_attached")
         return self._answer(rid, self.executor.read(rid, offset))
 
     def _answer(self, rid: str, body: Any) -> web.Resp:
-        buf = self.executor.buffer(rid)
+        buf = self.executor.get_buffer(rid)
         assert buf is not None
         headers = [
             ("Content-Type", buf.content_type or "application/octet-stream"),
--- a/jasperweir/daemons/entry.py
+++ b/jasperweir/daemons/entry.py
@@ -230,7 +230,7 @@
             return [
                 cell._asdict()
                 for window in burn_const.WINDOWS_SECONDS
-                for cell in windows.cells(window, now)
+                for cell in windows.list_cells(window, now)
             ]
 
         services = bundle.services.values() if bundle else ()
