--- a/jasperweir/daemons/agent.py
+++ b/jasperweir/daemons/agent.py
@@ -6,16 +6,16 @@
 
 from jasperweir import core
 from jasperweir import result_codes
-from jasperweir.components.agent import buffer as buffer_lib
 from jasperweir.components.agent import engine as engine_lib
-from jasperweir.components.agent import executor as executor_lib
 from jasperweir.components.agent import node as node_lib
-from jasperweir.components.agent import side as side_lib
+from jasperweir.components.agent import response_buffer
+from jasperweir.components.agent import run_executor
+from jasperweir.components.agent import target_poller
 from jasperweir.components.experts import const as expert_const
 from jasperweir.components.experts import group as group_lib
 from jasperweir.components.membership import const as member_const
 from jasperweir.components.membership import messages as member_messages
-from jasperweir.components.orders import planner as orders_lib
+from jasperweir.components.orders import planner
 from jasperweir.components.runs import const as run_const
 from jasperweir.components.runs import run_table as run_table_lib
 from jasperweir.daemons import base
@@ -69,16 +69,16 @@
             voters=tuple(p.name for p in cfg.voters),
             rng=self.host.rng,
         )
-        self.executor = executor_lib.Executor(
+        self.executor = run_executor.RunExecutor(
             url=target["url"],
             table=self.table,
             now=self.host.now,
             threads=cfg.threads,
         )
-        self._planner = orders_lib.Planner(
+        self._planner = planner.Planner(
             service=target["service"], role=target["role"]
         )
-        self.side = side_lib.TargetSide(
+        self.side = target_poller.TargetPoller(
             url=target["url"], orders=self._plan_orders
         )
         self.engine = None
@@ -150,7 +150,7 @@
     def _finish_drain(self) -> None:
         deadline = clocks.elapsed() + self._drain_s
         time.sleep(LEAVE_SETTLE_SECONDS)
-        while self.executor.active() and clocks.elapsed() < deadline:
+        while self.executor.count_active() and clocks.elapsed() < deadline:
             time.sleep(0.1)
         self.host.runner.call(
             lambda: self._perform(self.agent.announcer.announce_left())
@@ -161,7 +161,7 @@
     def wait(self) -> int:
         """Wait for the drain, release all resources, return the exit code."""
         self._done.wait()
-        unfinished = self.executor.active()
+        unfinished = self.executor.count_active()
         self.host.log.info(f"stopped, unfinished runs: {unfinished}")
         self._server.stop()
         self.side.stop()
@@ -184,7 +184,7 @@
         """Advance timers, announce readiness and export metrics."""
         now = self.host.now()
         self._perform(self.agent.tick(now))
-        self.table.ready = self.agent.ready and self.side.up
+        self.table.ready = self.agent.is_ready and self.side.is_up
         self._perform(self.agent.announcer.set_ready(self.table.ready))
         self.executor.tick()
         self.host.export_link_metrics(now)
@@ -195,8 +195,8 @@
         self.host.count_error(exc)
 
     def _plan_orders(
-        self, reported: orders_lib.Reported
-    ) -> list[orders_lib.Order]:
+        self, reported: planner.EngineState
+    ) -> list[planner.Order]:
         """Return the orders that bring the target to the bundle in force.
 
         The list is empty until the replica is ready and knows the minimum
@@ -206,8 +206,8 @@
         bundle = replica.bundle
         if not replica.ready or bundle is None or replica.floor is None:
             return []
-        self.side.gate.learn(replica.floor)
-        return self._planner.orders(
+        self.side.gate.raise_fence(replica.floor)
+        return self._planner.plan(
             bundle, replica.table.revision, reported, self.host.now()
         )
 
@@ -261,7 +261,7 @@
             200 if ready else 503,
             {
                 "ready": ready,
-                "target_up": self.side.up,
+                "target_up": self.side.is_up,
                 "version": self.agent.replica.version,
                 "leaving": self.table.draining,
             },
@@ -324,7 +324,7 @@
                 return self._verdict_response(verdict)
             case run_table_lib.Attach():
                 return self._attach_run(rid, 0)
-        call = executor_lib.Call(
+        call = run_executor.Call(
             method=req.header(H_METHOD, "POST"),
             path=req.header(H_PATH, "/"),
             content_type=req.header("content-type", "application/json"),
@@ -336,13 +336,15 @@
             },
         )
         try:
-            chunks = self.executor.open(rid, call)
-        except executor_lib.BrokenAnswerError as exc:
+            chunks = self.executor.send(rid, call)
+        except run_executor.BrokenAnswerError as exc:
             self.host.metrics.inc("runs_broken")
-            buf = self.executor.buffer(rid)
+            buf = self.executor.get_buffer(rid)
             return self._broken_response(502, str(exc), buf)
         self.host.metrics.inc("runs_started")
-        return self._stream_response(rid, self.executor.lead(rid, chunks))
+        return self._stream_response(
+            rid, self.executor.read_while_pulling(rid, chunks)
+        )
 
     def _get_run(self, req: web.Req) -> web.Resp:
         rid = req.path.removeprefix("/runs/")
@@ -354,22 +356,22 @@
         return self._attach_run(rid, int(offset))
 
     def _attach_run(self, rid: str, offset: int) -> web.Resp:
-        buf = self.executor.buffer(rid)
-        state = self.executor.state(rid)
+        buf = self.executor.get_buffer(rid)
+        state = self.executor.get_state(rid)
         if buf is None:
             if state in (run_table_lib.State.DONE, run_table_lib.State.BROKEN):
                 return self._reason_response(410, "answer dropped")
             reason = state.value if state else "unknown"
             return self._reason_response(404, reason)
-        if not buf.wait_head(executor_lib.HEAD_WAIT_SECONDS):
+        if not buf.wait_head(run_executor.HEAD_WAIT_SECONDS):
             return self._broken_response(410, "broken", buf)
-        if buf.ended and not buf.whole:
+        if buf.is_finished and not buf.is_complete:
             return self._broken_response(410, "broken", buf)
         self.host.metrics.inc("runs_attached")
         return self._stream_response(rid, self.executor.read(rid, offset))
 
     def _stream_response(self, rid: str, body: Any) -> web.Resp:
-        buf = self.executor.buffer(rid)
+        buf = self.executor.get_buffer(rid)
         assert buf is not None
         headers = [
             ("Content-Type", buf.content_type or "application/octet-stream"),
@@ -389,15 +391,18 @@
         return self._reason_response(200, "start")
 
     def _broken_response(
-        self, status: int, reason: str, buf: buffer_lib.Buffer | None
+        self,
+        status: int,
+        reason: str,
+        buf: response_buffer.ResponseBuffer | None,
     ) -> web.Resp:
         """Return the response for a broken run.
 
         It carries the number of the engine's crash if that broke the run.
         """
         resp = self._reason_response(status, reason)
-        if buf is not None and buf.engine_end:
-            resp.headers.append((run_const.H_ENGINE_END, str(buf.engine_end)))
+        if buf is not None and buf.crash_number:
+            resp.headers.append((run_const.H_ENGINE_END, str(buf.crash_number)))
         return resp
 
     def _reason_response(self, status: int, reason: str) -> web.Resp:
