--- a/features/harness/hop.py
+++ b/features/harness/hop.py
@@ -176,7 +176,7 @@
             directory=self.directory,
             neighbours=neighbours.Neighbours(name="e1", place="p"),
             bounds=bounds,
-            times=http_client.ClientTimes(),
+            times=http_client.ClientTimeouts(),
             metrics=metrics.Metrics(labels={}),
         )
         self.forwarder.index = index.Index(
--- a/features/harness/matrix.py
+++ b/features/harness/matrix.py
@@ -426,7 +426,7 @@
 
 def kinds(protocol: str) -> list[str]:
     """Return the protocol's messages, as the code registers them."""
-    return [k for k in codec.kinds() if k.split(".")[0] == protocol]
+    return [k for k in codec.list_kinds() if k.split(".")[0] == protocol]
 
 
 def table(protocol: str) -> list[tuple[str, str, str]]:
--- a/features/steps/gone_steps.py
+++ b/features/steps/gone_steps.py
@@ -79,7 +79,7 @@
     """Open a connection and read what the kernel was told of it."""
     server = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    pool = http_client.Pool(times=http_client.ClientTimes())
+    pool = http_client.ConnectionPool(times=http_client.ClientTimeouts())
     conn = await pool.open(f"127.0.0.1:{port}")
     sock = conn._transport.get_extra_info("socket")
     options = {
--- a/features/steps/hop_steps.py
+++ b/features/steps/hop_steps.py
@@ -17,7 +17,7 @@
 from jasperweir.helpers import http_message
 from jasperweir.helpers import link
 
-TIMES = http_client.ClientTimes(connect=1.0, dead_peer=2.0, idle=5.0)
+TIMES = http_client.ClientTimeouts(connect=1.0, dead_peer=2.0, idle=5.0)
 SETTLE_SECONDS = 0.15
 
 
@@ -64,7 +64,7 @@
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    pool = http_client.Pool(times=TIMES)
+    pool = http_client.ConnectionPool(times=TIMES)
     conn = await pool.open(f"127.0.0.1:{port}")
     if asks:
         conn.send(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", listener)
@@ -161,23 +161,23 @@
 
 @given("a pool with a connection that has rested for {seconds:g} s")
 def step_rested(context, seconds):
-    times = http_client.ClientTimes()
+    times = http_client.ClientTimeouts()
     conn = http_client.ClientConnection(times=times)
     conn.idle_since = time.monotonic() - seconds
     conn.usable_until = time.monotonic() + 60.0
-    context.pool = http_client.Pool(times=times)
-    context.pool.give("t", conn)
+    context.pool = http_client.ConnectionPool(times=times)
+    context.pool.release("t", conn)
     context.conn = conn
 
 
 @then("a request that may rest {seconds:g} s gets no connection")
 def step_no_connection(context, seconds):
-    assert context.pool.take("t", seconds) is None
+    assert context.pool.acquire("t", seconds) is None
 
 
 @then("any other request gets that one")
 def step_gets_it(context):
-    assert context.pool.take("t") is context.conn
+    assert context.pool.acquire("t") is context.conn
 
 
 @given("a link that sends to {count:d} nodes")
--- a/features/steps/matrix_steps.py
+++ b/features/steps/matrix_steps.py
@@ -37,5 +37,5 @@
 )
 def no_hole(context):
     known = tuple(f"{name}." for name in matrix.CELLS) + ELSEWHERE
-    holes = [kind for kind in codec.kinds() if not kind.startswith(known)]
+    holes = [kind for kind in codec.list_kinds() if not kind.startswith(known)]
     assert not holes, holes
--- a/features/steps/process_steps.py
+++ b/features/steps/process_steps.py
@@ -131,7 +131,7 @@
 
 @given("a running deployment with keys")
 def running_with_keys(context):
-    keys = link_lib.new_keys()
+    keys = link_lib.generate_keys()
     path = context.folder / "keys"
     path.write_bytes(keys.public + b"\n" + keys.secret + b"\n")
     build(context, str(path))
@@ -623,7 +623,7 @@
 def other_keys(context):
     local = context.local
     heard = []
-    for keys in (None, link_lib.new_keys()):
+    for keys in (None, link_lib.generate_keys()):
         stranger = link_lib.Link(
             name="stranger",
             address=f"127.0.5.{2 + bool(keys)}:17000",
--- a/features/steps/quarantine_ledger_steps.py
+++ b/features/steps/quarantine_ledger_steps.py
@@ -347,6 +347,6 @@
             with contextlib.suppress(exceptions.FrameError):
                 codec.decode(data[:end])
 
-    kinds = st.sampled_from([*codec.kinds(), "no.such"])
+    kinds = st.sampled_from([*codec.list_kinds(), "no.such"])
     versions = st.sampled_from([codec.FRAME_VERSION, 0, 2])
     drawn(count, st.tuples(kinds, VALUES, versions), check)
--- a/jasperweir/cli/daemons.py
+++ b/jasperweir/cli/daemons.py
@@ -91,7 +91,7 @@
 
 
 def _new_keys(args: argparse.Namespace) -> int:
-    keys = link.new_keys()
+    keys = link.generate_keys()
     flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL
     try:
         fd = os.open(args.file, flags, 0o600)
--- a/jasperweir/components/balance/neighbours.py
+++ b/jasperweir/components/balance/neighbours.py
@@ -137,4 +137,4 @@
     def _cell_of(self, name: str) -> int:
         if self._cells < 2:
             return 0
-        return hashing.stable(name) % self._cells
+        return hashing.hash64(name) % self._cells
--- a/jasperweir/components/claims/partitions.py
+++ b/jasperweir/components/claims/partitions.py
@@ -12,7 +12,7 @@
 
 def partition_index(key: str) -> int:
     """Return the index of the partition that a key belongs to."""
-    return hashing.stable(key) % const.PARTITIONS
+    return hashing.hash64(key) % const.PARTITIONS
 
 
 @functools.lru_cache(maxsize=8)
@@ -31,7 +31,7 @@
         members_by_label[label] = (name, inc)
         labels_by_place.setdefault(place, []).append(label)
     rings = {
-        place: hashing.Ring(names=found)
+        place: hashing.HashRing(names=found)
         for place, found in labels_by_place.items()
     }
     owners = []
@@ -41,14 +41,15 @@
     return tuple(owners)
 
 
-def _owners(key: str, rings: dict[str, hashing.Ring]) -> list[str]:
+def _owners(key: str, rings: dict[str, hashing.HashRing]) -> list[str]:
     """Return the owners of one partition, spread over data centres.
 
     Every data centre provides one owner before any provides a second.
     """
     order = hashing.rendezvous(key, rings, len(rings))
     found = [
-        rings[place].after(key, const.OWNERS_PER_PARTITION) for place in order
+        rings[place].list_successors(key, const.OWNERS_PER_PARTITION)
+        for place in order
     ]
     chosen = [
         names[depth]
--- a/jasperweir/components/forward/early.py
+++ b/jasperweir/components/forward/early.py
@@ -17,7 +17,7 @@
         until: When it is refused, monotonic seconds.
     """
 
-    answering: http_server.Answering
+    answering: http_server.ResponseWriter
     ask: dialect_lib.Ask
     arrived: float
     until: float
--- a/jasperweir/components/forward/end_watch.py
+++ b/jasperweir/components/forward/end_watch.py
@@ -49,7 +49,7 @@
         self,
         *,
         clock: core.Clock,
-        pool: http_client.Pool,
+        pool: http_client.ConnectionPool,
         directory: directory_lib.Directory,
         record: record_lib.Recorder,
     ) -> None:
--- a/jasperweir/components/forward/exchange.py
+++ b/jasperweir/components/forward/exchange.py
@@ -43,7 +43,7 @@
         *,
         number: int,
         owner: "forwarder_lib.Forwarder",
-        answering: http_server.Answering,
+        answering: http_server.ResponseWriter,
         life: life_lib.Life,
         service: str,
     ) -> None:
@@ -91,7 +91,7 @@
         longest_rest = math.inf
         if not self.life.match.route.idempotent:
             longest_rest = const.REST_SECONDS
-        conn = self._owner.pool.take(_pool_key(target), longest_rest)
+        conn = self._owner.pool.acquire(_pool_key(target), longest_rest)
         if conn is not None:
             self._write(conn)
             return
@@ -109,7 +109,7 @@
             return
         self._opening = None
         if self.done:
-            self._owner.pool.give(_pool_key(target), conn)
+            self._owner.pool.release(_pool_key(target), conn)
             return
         self._write(conn)
 
@@ -119,13 +119,13 @@
         life = self.life
         if self._owner.targets.asked.bars(self._target, now):
             # It has asked for rest while the connection was opened.
-            self._owner.pool.give(_pool_key(self._target), conn)
+            self._owner.pool.release(_pool_key(self._target), conn)
             self._release()
             self._act(life.on_barred(self._target.target_id))
             return
         patience = life.remaining(now) - const.ANSWER_MARGIN_SECONDS
         if patience < const.RETRY_LEAST_SECONDS:
-            self._owner.pool.give(_pool_key(self._target), conn)
+            self._owner.pool.release(_pool_key(self._target), conn)
             self._release()
             self._act(life.on_time_up(at_target=False))
             return
@@ -216,7 +216,7 @@
         conn = self._conn
         if self.done or conn is None or self._target is None:
             return
-        self._owner.pool.give(_pool_key(self._target), conn)
+        self._owner.pool.release(_pool_key(self._target), conn)
         self._owner.notes.whole(self, self._sent_at)
         if self._head is not None and self._head.status < 300:
             self._owner.ends.on_whole(self)
@@ -271,7 +271,7 @@
         now = self._owner.now()
         target = self._target
         if hard:
-            self._owner.pool.drop(_pool_key(target))
+            self._owner.pool.close_idle(_pool_key(target))
         if fault in (Fault.UNSENT, Fault.UNKNOWN):
             self._owner.balancer.failed(target.target_id, now, hard=hard)
         self._detach()
--- a/jasperweir/components/forward/forwarder.py
+++ b/jasperweir/components/forward/forwarder.py
@@ -67,12 +67,12 @@
         directory: directory_lib.Directory,
         neighbours: neighbours_lib.Neighbours,
         bounds: budget_lib.BudgetBounds,
-        times: http_client.ClientTimes,
+        times: http_client.ClientTimeouts,
         metrics: metrics_lib.Metrics,
     ) -> None:
         self.dialect = dialect
         self.balancer = balancer_lib.Balancer(rng=rng)
-        self.pool = http_client.Pool(times=times)
+        self.pool = http_client.ConnectionPool(times=times)
         self.index: index_lib.Index | None = None
         self.is_certain: Callable[[], bool] = lambda: True
         self.on_work: Callable[[], None] = lambda: None
@@ -151,7 +151,7 @@
 
     # Arrival.
 
-    def handle(self, answering: http_server.Answering) -> None:
+    def handle(self, answering: http_server.ResponseWriter) -> None:
         """Take in a caller's request."""
         req = answering.request
         index = self.index
@@ -166,7 +166,7 @@
         self._accept(answering, ask, index, self.now())
 
     def _keep_early(
-        self, answering: http_server.Answering, ask: dialect_lib.Ask
+        self, answering: http_server.ResponseWriter, ask: dialect_lib.Ask
     ) -> None:
         """Keep a request for a moment until there are routes."""
         now = self.now()
@@ -200,7 +200,7 @@
 
     def _accept(
         self,
-        answering: http_server.Answering,
+        answering: http_server.ResponseWriter,
         ask: dialect_lib.Ask,
         index: index_lib.Index,
         arrived: float,
@@ -231,7 +231,7 @@
 
     def _deny(
         self,
-        answering: http_server.Answering,
+        answering: http_server.ResponseWriter,
         ask: dialect_lib.Ask,
         denial: matching.Denial,
     ) -> None:
@@ -411,7 +411,7 @@
     def tidy(self) -> None:
         """Drop what is not used any more: connections, and rests long over."""
         now = self.now()
-        self.pool.tidy()
+        self.pool.close_expired()
         self.targets.tidy(now)
         self._record.asking(self.targets.asked.counts(now))
 
@@ -452,7 +452,7 @@
 
     def _turn_away(
         self,
-        answering: http_server.Answering,
+        answering: http_server.ResponseWriter,
         ask: dialect_lib.Ask | None,
         code: Code,
         detail: str,
--- a/jasperweir/components/forward/refusals.py
+++ b/jasperweir/components/forward/refusals.py
@@ -21,7 +21,7 @@
 
     def refuse(
         self,
-        answering: http_server.Answering,
+        answering: http_server.ResponseWriter,
         ask: dialect_lib.Ask | None,
         code: Code,
         now: float,
--- a/jasperweir/components/membership/roster.py
+++ b/jasperweir/components/membership/roster.py
@@ -28,7 +28,7 @@
         self._bucket_digests = [0] * const.BUCKETS
         self._dead_since: dict[str, float] = {}
         self._own_name = own.name
-        self._ring = hashing.Ring(names=())
+        self._ring = hashing.HashRing(names=())
         self._ring_version = -1
         self._entries_version = 0
         self._store(own)
@@ -51,8 +51,8 @@
         if self._ring_version != self._entries_version:
             self._ring_version = self._entries_version
             entries = [m.name for m in self.present(const.KIND_ENTRY)]
-            self._ring = hashing.Ring(names=entries)
-        names = self._ring.after(name, const.WATCHERS_PER_NODE)
+            self._ring = hashing.HashRing(names=entries)
+        names = self._ring.list_successors(name, const.WATCHERS_PER_NODE)
         return [self._members[watcher] for watcher in names]
 
     def present(self, kind: str = "") -> list[messages.Member]:
@@ -166,7 +166,7 @@
     def _toggle_digest(self, member: messages.Member) -> None:
         """Add a record to its bucket's digest, or remove it by XOR."""
         stamp = f"{member.name}\x00{member.inc}\x00{member.seq}"
-        digest = hashing.stable(f"{stamp}\x00{int(member.status)}")
+        digest = hashing.hash64(f"{stamp}\x00{int(member.status)}")
         self._bucket_digests[_bucket_index(member.name)] ^= digest
 
 
@@ -178,4 +178,4 @@
 
 
 def _bucket_index(name: str) -> int:
-    return hashing.stable(name) % const.BUCKETS
+    return hashing.hash64(name) % const.BUCKETS
--- a/jasperweir/daemons/control_calls.py
+++ b/jasperweir/daemons/control_calls.py
@@ -19,11 +19,11 @@
 
     def __init__(self, *, dialect: calls_lib.ControlDialect) -> None:
         self._dialect = dialect
-        self._open: dict[int, http_server.Answering] = {}
+        self._open: dict[int, http_server.ResponseWriter] = {}
 
     def take(
         self,
-        answering: http_server.Answering,
+        answering: http_server.ResponseWriter,
         node: node_lib.ConfigNode | None,
         now: float,
     ) -> node_lib.Actions:
@@ -83,7 +83,7 @@
 
     def _refuse(
         self,
-        answering: http_server.Answering,
+        answering: http_server.ResponseWriter,
         code: Code,
         problems: tuple[str, ...],
     ) -> None:
--- a/jasperweir/daemons/engine_client.py
+++ b/jasperweir/daemons/engine_client.py
@@ -16,7 +16,7 @@
 
 _log = logs.logger("engine")
 
-ENGINE_TIMES = http_client.ClientTimes(connect=0.15, dead_peer=1.0, idle=1.0)
+ENGINE_TIMES = http_client.ClientTimeouts(connect=0.15, dead_peer=1.0, idle=1.0)
 
 
 class EngineDialect(Protocol):
@@ -61,7 +61,7 @@
         self._address = address
         self._dialect = dialect
         self._timeout_s = timeout_s
-        self._pool = http_client.Pool(times=ENGINE_TIMES)
+        self._pool = http_client.ConnectionPool(times=ENGINE_TIMES)
         self._tasks: set[asyncio.Task[None]] = set()
 
     def spawn(self, coro: Coroutine[Any, Any, None]) -> None:
--- a/jasperweir/daemons/held_page.py
+++ b/jasperweir/daemons/held_page.py
@@ -34,7 +34,7 @@
         self._now = now
         self._on_lifted = on_lifted
 
-    def handle(self, answering: http_server.Answering) -> None:
+    def handle(self, answering: http_server.ResponseWriter) -> None:
         """Answer an operator."""
         req = answering.request
         held = self._ledger.held(self._now())
--- a/jasperweir/daemons/loop_host.py
+++ b/jasperweir/daemons/loop_host.py
@@ -248,7 +248,7 @@
             self.metrics.gauge("link_kind_frames", seen.frames, **labels)
             self.metrics.gauge("link_kind_bytes", seen.size, **labels)
 
-    def _on_metrics(self, answering: http_server.Answering) -> None:
+    def _on_metrics(self, answering: http_server.ResponseWriter) -> None:
         page = self.pages.get(answering.request.path)
         if page is not None:
             page(answering)
--- a/jasperweir/daemons/site_control.py
+++ b/jasperweir/daemons/site_control.py
@@ -374,7 +374,7 @@
             if service.engine is not None
         }
 
-    def _handle(self, answering: http_server.Answering) -> None:
+    def _handle(self, answering: http_server.ResponseWriter) -> None:
         acts = self._calls.take(answering, self._node, self._host.now())
         self._perform(acts)
 
--- a/jasperweir/daemons/site_entry.py
+++ b/jasperweir/daemons/site_entry.py
@@ -110,7 +110,7 @@
                 name=cfg.internal, place=cfg.place
             ),
             bounds=bounds,
-            times=http_client.ClientTimes(),
+            times=http_client.ClientTimeouts(),
             metrics=self._host.metrics,
         )
         self._share_due = False
@@ -312,11 +312,11 @@
 
     # Questions of the platform and of callers.
 
-    def _on_ready_check(self, answering: http_server.Answering) -> None:
+    def _on_ready_check(self, answering: http_server.ResponseWriter) -> None:
         ready = self._discovery.node.open and not self._stopping_at
         answering.reply(200 if ready else 503, [], b"")
 
-    def _on_lookup(self, answering: http_server.Answering) -> None:
+    def _on_lookup(self, answering: http_server.ResponseWriter) -> None:
         asked = self._dialect.lookup(answering.request)
         if asked is None:
             answering.reply(404, [], b"")
--- a/jasperweir/helpers/codec.py
+++ b/jasperweir/helpers/codec.py
@@ -57,7 +57,7 @@
     return wrap
 
 
-def kinds() -> list[str]:
+def list_kinds() -> list[str]:
     """Return every registered frame kind, sorted."""
     return sorted(_DECODERS)
 
--- a/jasperweir/helpers/hashing.py
+++ b/jasperweir/helpers/hashing.py
@@ -8,7 +8,7 @@
 import xxhash
 
 
-def stable(text: str) -> int:
+def hash64(text: str) -> int:
     """Return a 64-bit hash that is equal on every node and in every run."""
     return xxhash.xxh3_64_intdigest(text.encode())
 
@@ -18,12 +18,12 @@
     return xxhash.xxh3_64_intdigest(data)
 
 
-def content(data: bytes) -> str:
+def sha256_hex(data: bytes) -> str:
     """Return a cryptographic content hash, for tamper evidence."""
     return hashlib.sha256(data).hexdigest()
 
 
-class Ring:
+class HashRing:
     """Hash ring: the owners of a key are the next names clockwise.
 
     A look-up costs one binary search, where ``rendezvous`` costs a hash for
@@ -34,7 +34,7 @@
 
     def __init__(self, *, names: Iterable[str]) -> None:
         points = sorted(
-            (stable(f"ring\x00{name}\x00{point}"), name)
+            (hash64(f"ring\x00{name}\x00{point}"), name)
             for name in names
             for point in range(self.POINTS)
         )
@@ -42,10 +42,10 @@
         self._hashes = array.array("Q", (point for point, _ in points))
         self._names = [name for _, name in points]
 
-    def after(self, key: str, count: int) -> list[str]:
+    def list_successors(self, key: str, count: int) -> list[str]:
         """Return the names that follow a key, without the key itself."""
         size = len(self._names)
-        at = bisect.bisect_right(self._hashes, stable(f"ring\x00{key}"))
+        at = bisect.bisect_right(self._hashes, hash64(f"ring\x00{key}"))
         found: list[str] = []
         for step in range(size):
             name = self._names[(at + step) % size]
@@ -63,6 +63,6 @@
     joins or leaves moves only the keys that it owns.
     """
     scored = sorted(
-        ((stable(f"{key}\x00{name}"), name) for name in names), reverse=True
+        ((hash64(f"{key}\x00{name}"), name) for name in names), reverse=True
     )
     return [name for _, name in scored[:count]]
--- a/jasperweir/helpers/http_client.py
+++ b/jasperweir/helpers/http_client.py
@@ -15,10 +15,10 @@
 _log = logs.logger("http.client")
 
 # Statuses whose answers never have a body (RFC 9110).
-BODILESS = (204, 304)
+BODILESS_STATUSES = (204, 304)
 
 
-class Listener(Protocol):
+class ResponseListener(Protocol):
     """Who is told what arrives for a request."""
 
     def on_head(self, head: http_message.Head, length: int | None) -> bool:
@@ -34,7 +34,7 @@
         """The connection ended before the answer was whole."""
 
 
-class ClientTimes(NamedTuple):
+class ClientTimeouts(NamedTuple):
     """Time limits of connections, seconds.
 
     Attributes:
@@ -64,18 +64,18 @@
         received: Whether any byte of the current answer has arrived.
     """
 
-    def __init__(self, *, times: ClientTimes) -> None:
+    def __init__(self, *, times: ClientTimeouts) -> None:
         self._times = times
         self._transport: asyncio.Transport | None = None
-        self._listener: Listener | None = None
+        self._listener: ResponseListener | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._headers: http_message.Headers = []
         self._skipping = False
         self._until_close = False
         self._complete = False
         self._clean_eof = False
-        self._keep_s = times.idle
-        self._keep = True
+        self._keep_alive_s = times.idle
+        self._keep_alive = True
         self.usable_until = 0.0
         self.idle_since = 0.0
         self.received = False
@@ -90,7 +90,7 @@
             return False
         return clocks.elapsed() < self.usable_until
 
-    def send(self, data: bytes, listener: Listener) -> None:
+    def send(self, data: bytes, listener: ResponseListener) -> None:
         """Send one request and tell a listener what comes of it."""
         assert self._transport is not None
         self._listener = listener
@@ -119,7 +119,7 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         for option in (socket.TCP_KEEPIDLE, socket.TCP_KEEPINTVL):
             sock.setsockopt(socket.IPPROTO_TCP, option, self._times.silent)
-        self._rest(self._times.idle)
+        self._mark_idle(self._times.idle)
 
     def data_received(self, data: bytes) -> None:
         """Parse what the server sent."""
@@ -134,16 +134,16 @@
             self._parser.feed_data(data)
         except httptools.HttpParserCallbackError:
             _log.exception("error while an answer was handled")
-            self._break("error while the answer was handled")
+            self._fail("error while the answer was handled")
             return
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as exc:
             if not self._complete:
-                self._break(f"unreadable answer: {type(exc).__name__}")
+                self._fail(f"unreadable answer: {type(exc).__name__}")
                 return
             # Whatever follows a whole answer belongs to no request.
-            self._keep = False
+            self._keep_alive = False
         if self._complete:
-            self._after_answer()
+            self._finish_response()
 
     def eof_received(self) -> bool:
         """Note that the server ended the connection in order."""
@@ -160,7 +160,7 @@
             self._listener = None
             listener.on_end()
             return
-        self._break(f"closed: {exc}" if exc else "closed")
+        self._fail(f"closed: {exc}" if exc else "closed")
 
     # Parser callbacks.
 
@@ -170,9 +170,9 @@
         self._until_close = False
         if self._complete:
             # A second answer in the same bytes: the connection is not used
-            # again, see _after_answer.
+            # again, see _finish_response.
             self._skipping = True
-            self._keep = False
+            self._keep_alive = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Collect a header."""
@@ -189,15 +189,15 @@
         length_text = http_message.find(self._headers, b"content-length")
         coding = http_message.find(self._headers, b"transfer-encoding")
         length = int(length_text) if length_text is not None else None
-        bodiless = status in BODILESS
+        bodiless = status in BODILESS_STATUSES
         self._until_close = length is None and coding is None and not bodiless
-        self._keep = self._parser.should_keep_alive()
-        self._keep_s = self._stated_idle()
+        self._keep_alive = self._parser.should_keep_alive()
+        self._keep_alive_s = self._read_keep_alive()
         head = http_message.Head(status=status, headers=self._headers)
         wanted = self._listener.on_head(head, 0 if bodiless else length)
         self._skipping = not wanted
         if self._skipping and self._until_close:
-            self._break("an answer to another request, of unknown length")
+            self._fail("an answer to another request, of unknown length")
 
     def on_body(self, body: bytes) -> None:
         """Hand on a piece of the body."""
@@ -211,7 +211,7 @@
             return
         self._complete = True
 
-    def _stated_idle(self) -> float:
+    def _read_keep_alive(self) -> float:
         stated = http_message.find(self._headers, b"keep-alive") or b""
         for part in stated.split(b","):
             name, _, value = part.strip().partition(b"=")
@@ -221,49 +221,49 @@
                 return min(float(value) * 0.6, self._times.idle * 4)
         return self._times.idle
 
-    def _after_answer(self) -> None:
+    def _finish_response(self) -> None:
         listener = self._listener
         self._listener = None
         assert self._transport is not None
         unsent = self._transport.get_write_buffer_size()
-        if not self._keep or unsent:
+        if not self._keep_alive or unsent:
             self.close()
         else:
-            self._rest(self._keep_s)
+            self._mark_idle(self._keep_alive_s)
         if listener is not None:
             listener.on_end()
 
-    def _rest(self, seconds: float) -> None:
+    def _mark_idle(self, seconds: float) -> None:
         self.idle_since = clocks.elapsed()
         self.usable_until = self.idle_since + seconds
 
-    def _break(self, reason: str) -> None:
+    def _fail(self, reason: str) -> None:
         listener = self._listener
         self.close()
         if listener is not None:
             listener.on_broken(reason)
 
 
-class Pool:
+class ConnectionPool:
     """Idle connections by server, and new ones when none is idle.
 
     Attributes:
         opened: How many connections were opened.
     """
 
-    def __init__(self, *, times: ClientTimes) -> None:
+    def __init__(self, *, times: ClientTimeouts) -> None:
         self._times = times
         self._idle: dict[str, list[ClientConnection]] = {}
         self.opened = 0
 
-    def take(
-        self, key: str, longest_rest: float = math.inf
+    def acquire(
+        self, key: str, max_idle_s: float = math.inf
     ) -> ClientConnection | None:
         """Return an idle connection, the one used last.
 
         Args:
             key: Server and incarnation.
-            longest_rest: Seconds; one that has been idle for longer stays.
+            max_idle_s: Seconds; one that has been idle for longer stays.
         """
         conns = self._idle.get(key, [])
         while conns:
@@ -271,23 +271,23 @@
             if not conn.idle:
                 conn.close()
                 continue
-            if clocks.elapsed() - conn.idle_since <= longest_rest:
+            if clocks.elapsed() - conn.idle_since <= max_idle_s:
                 return conn
             conns.append(conn)
             return None
         return None
 
-    def give(self, key: str, conn: ClientConnection) -> None:
+    def release(self, key: str, conn: ClientConnection) -> None:
         """Keep a connection for later, if it may be used again."""
         if conn.idle:
             self._idle.setdefault(key, []).append(conn)
 
-    def drop(self, key: str) -> None:
+    def close_idle(self, key: str) -> None:
         """Close the idle connections to a server."""
         for conn in self._idle.pop(key, []):
             conn.close()
 
-    def tidy(self) -> None:
+    def close_expired(self) -> None:
         """Close connections that have been idle for too long."""
         for key, conns in list(self._idle.items()):
             kept = []
--- a/jasperweir/helpers/http_fetch.py
+++ b/jasperweir/helpers/http_fetch.py
@@ -6,7 +6,7 @@
 from jasperweir.helpers import http_message
 
 
-class Answer:
+class ResponseCollector:
     """Collect one answer.
 
     Attributes:
@@ -40,7 +40,7 @@
 
 
 async def fetch(
-    pool: http_client.Pool,
+    pool: http_client.ConnectionPool,
     address: str,
     method: bytes,
     target: bytes,
@@ -52,7 +52,7 @@
     Raises:
         OSError: No whole answer came in time.
     """
-    conn = pool.take(address)
+    conn = pool.acquire(address)
     if conn is None:
         conn = await pool.open(address)
     headers = [(b"host", address.encode())]
@@ -60,7 +60,7 @@
         headers.append((b"content-type", b"application/json"))
     headers.append((b"content-length", b"%d" % len(body)))
     line = method + b" " + target + b" HTTP/1.1"
-    answer = Answer()
+    answer = ResponseCollector()
     conn.send(http_message.write_head(line, headers) + body, answer)
     try:
         async with asyncio.timeout(timeout_s):
@@ -68,5 +68,5 @@
     except TimeoutError as exc:
         conn.close()
         raise OSError("no answer in time") from exc
-    pool.give(address, conn)
+    pool.release(address, conn)
     return found
--- a/jasperweir/helpers/http_server.py
+++ b/jasperweir/helpers/http_server.py
@@ -32,7 +32,7 @@
     idle_timeout_s: float = 15.0
 
 
-class Answering:
+class ResponseWriter:
     """One request that is being answered on a connection.
 
     Attributes:
@@ -106,7 +106,7 @@
 
     def _head(self, status: int, headers: http_message.Headers) -> bytes:
         self.started = True
-        if not self._conn.will_keep(self.request):
+        if not self._conn.keeps_alive(self.request):
             headers = [*headers, (b"connection", b"close")]
         return http_message.write_head(
             http_message.status_line(status), headers
@@ -114,10 +114,10 @@
 
     def _finish(self) -> None:
         self.done = True
-        self._conn.answered(self)
+        self._conn.on_response_done(self)
 
 
-Handler = Callable[[Answering], None]
+Handler = Callable[[ResponseWriter], None]
 
 
 class Connection(asyncio.Protocol):
@@ -130,7 +130,7 @@
         self._queue: collections.deque[http_message.Request] = (
             collections.deque()
         )
-        self._current: Answering | None = None
+        self._current: ResponseWriter | None = None
         self._closing = False
         self._idle_since = clocks.elapsed()
         self._reading_since = 0.0
@@ -181,11 +181,11 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._refuse(400)
+            self._reject(400)
         except httptools.HttpParserError:
-            self._refuse(400)
+            self._reject(400)
         if self._in_head and self._head_bytes > self._limits.header_bytes:
-            self._refuse(431)
+            self._reject(431)
 
     def eof_received(self) -> bool:
         """Treat a caller's half close as a close."""
@@ -215,11 +215,11 @@
         self._in_head = False
         size = sum(len(k) + len(v) + 4 for k, v in self._headers)
         if size + len(self._target) > self._limits.header_bytes:
-            self._refuse(431)
+            self._reject(431)
             return
         length = http_message.find(self._headers, b"content-length")
         if length is not None and int(length) > self._limits.body_bytes:
-            self._refuse(413)
+            self._reject(413)
             return
         if http_message.find(self._headers, b"expect") is not None:
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -228,7 +228,7 @@
         """Collect a piece of the body."""
         self._body_bytes += len(body)
         if self._body_bytes > self._limits.body_bytes:
-            self._refuse(413)
+            self._reject(413)
             return
         self._body.append(body)
 
@@ -250,7 +250,7 @@
             return
         self._queue.append(req)
         # Not from within the parser, which would hide a handler's errors.
-        asyncio.get_running_loop().call_soon(self._next)
+        asyncio.get_running_loop().call_soon(self._handle_next)
 
     # Used by answers and by the server.
 
@@ -262,21 +262,21 @@
         if self._transport.get_write_buffer_size() > WRITE_BUFFER_BYTES:
             self.abort()
 
-    def will_keep(self, req: http_message.Request) -> bool:
+    def keeps_alive(self, req: http_message.Request) -> bool:
         """Tell whether the connection stays open after an answer."""
         return req.keep_alive and not self._server.stopping
 
-    def answered(self, answering: Answering) -> None:
+    def on_response_done(self, answering: ResponseWriter) -> None:
         """Go on to the next request, or close."""
         if self._current is not answering:
             return
         self._current = None
         self._idle_since = clocks.elapsed()
-        if not self.will_keep(answering.request):
+        if not self.keeps_alive(answering.request):
             self.close()
             return
         if self._queue:
-            asyncio.get_running_loop().call_soon(self._next)
+            asyncio.get_running_loop().call_soon(self._handle_next)
 
     def close(self) -> None:
         """Close once what was written has left."""
@@ -303,7 +303,7 @@
             return
         if self._reading_since:
             if now - self._reading_since > self._limits.header_timeout_s:
-                self._refuse(408)
+                self._reject(408)
             return
         if now - self._idle_since > self._limits.idle_timeout_s:
             self.close()
@@ -312,14 +312,14 @@
     def _limits(self) -> ServerLimits:
         return self._server.limits
 
-    def _next(self) -> None:
+    def _handle_next(self) -> None:
         if self._current is not None or not self._queue or self._closing:
             return
         req = self._queue.popleft()
-        self._current = Answering(conn=self, req=req)
+        self._current = ResponseWriter(conn=self, req=req)
         self._server.handler(self._current)
 
-    def _refuse(self, status: int) -> None:
+    def _reject(self, status: int) -> None:
         """Answer what cannot be read, and close.
 
         A request before it on the connection is still being answered; then
--- a/jasperweir/helpers/link.py
+++ b/jasperweir/helpers/link.py
@@ -74,7 +74,7 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Traffic:
+class TrafficCounter:
     """Frames of one kind in one direction, and their bytes in all."""
 
     frames: int = 0
@@ -86,7 +86,7 @@
         self.size += len(data)
 
 
-class _OneKey:
+class _SharedKeyProvider:
     """Credentials provider that admits the deployment's own key only."""
 
     def __init__(self, *, public: bytes) -> None:
@@ -105,7 +105,8 @@
     Attributes:
         counters: Frames and bytes by direction, and drops by reason.
         by_kind: Frames and bytes by direction and kind of message.
-        cut: Names from and to which frames are dropped, for failure tests.
+        blocked_peers: Names from and to which frames are dropped, for failure
+            tests.
     """
 
     def __init__(
@@ -121,10 +122,10 @@
         self.name = name
         self.address = address
         self.counters: collections.Counter[str] = collections.Counter()
-        self.by_kind: collections.defaultdict[tuple[str, str], Traffic] = (
-            collections.defaultdict(Traffic)
-        )
-        self.cut: set[str] = set()
+        self.by_kind: collections.defaultdict[
+            tuple[str, str], TrafficCounter
+        ] = collections.defaultdict(TrafficCounter)
+        self.blocked_peers: set[str] = set()
         self._incarnation = incarnation
         self._deliver = deliver
         self._keys = keys
@@ -167,7 +168,9 @@
             self._auth.start()
             self._auth.configure_curve_callback(
                 domain="*",
-                credentials_provider=_OneKey(public=self._keys.public),
+                credentials_provider=_SharedKeyProvider(
+                    public=self._keys.public
+                ),
             )
         self._router = self._context.socket(zmq.ROUTER)
         self._router.setsockopt(zmq.MAXMSGSIZE, codec.MAX_FRAME_BYTES)
@@ -254,7 +257,7 @@
 
     def _transmit(self, dst: str, data: bytes) -> bool:
         """Send a frame; return whether it has gone out."""
-        if dst in self.cut:
+        if dst in self.blocked_peers:
             self.counters["cut"] += 1
             return False
         address = self._addresses.get(dst)
@@ -350,7 +353,7 @@
         if env.dst_inc not in (0, self._incarnation()):
             self.counters["dropped_other_incarnation"] += 1
             return
-        if env.src in self.cut:
+        if env.src in self.blocked_peers:
             self.counters["cut"] += 1
             return
         self.by_kind[IN, env.kind].count(data)
@@ -358,7 +361,7 @@
         self._deliver(Received(env=env, msg=msg))
 
 
-def new_keys() -> Keys:
+def generate_keys() -> Keys:
     """Return a fresh CURVE key pair."""
     public, secret = zmq.curve_keypair()
     return Keys(public=public, secret=secret)
--- a/jasperweir/helpers/logs.py
+++ b/jasperweir/helpers/logs.py
@@ -30,9 +30,9 @@
 
 # Lines that one process may write in a second; requests of one entry are
 # some ten a second today, and a line costs about 40 us.
-LINES_PER_SECOND = 200
+MAX_LINES_PER_SECOND = 200
 # Lines that wait for a reader before new ones are dropped.
-LINES_QUEUED = 2000
+MAX_QUEUED_LINES = 2000
 
 
 class BoundedHandler(logbook.Handler):
@@ -52,8 +52,8 @@
         self._queue: collections.deque[bytes] = collections.deque()
         self._second = 0
         self._written = 0
-        self._left_out = 0
-        self._part = b""
+        self._dropped_lines = 0
+        self._partial_write = b""
 
     def emit(self, record: logbook.LogRecord) -> None:
         """Queue a line, or count it as left out."""
@@ -61,9 +61,9 @@
         if int(now) != self._second:
             self._second = int(now)
             self._written = 0
-        full = len(self._queue) >= LINES_QUEUED
-        if full or self._written >= LINES_PER_SECOND:
-            self._left_out += 1
+        full = len(self._queue) >= MAX_QUEUED_LINES
+        if full or self._written >= MAX_LINES_PER_SECOND:
+            self._dropped_lines += 1
             return
         self._written += 1
         body: dict[str, Any] = {
@@ -74,28 +74,28 @@
             "event": str(record.msg),
         }
         body.update(record.kwargs or {})
-        if self._left_out:
-            body["lines_left_out"] = self._left_out
-            self._left_out = 0
+        if self._dropped_lines:
+            body["lines_left_out"] = self._dropped_lines
+            self._dropped_lines = 0
         if record.exc_info:
             body["traceback"] = record.formatted_exception
         line = msgspec.json.encode(body, enc_hook=str)
         self._queue.append(line + b"\n")
-        if len(self._queue) == 1 and not self._part:
+        if len(self._queue) == 1 and not self._partial_write:
             self.on_first()
 
     def flush(self) -> bool:
         """Write what is queued; return whether the reader took all of it."""
-        while self._queue or self._part:
-            if not self._part:
-                self._part = b"".join(self._queue)
+        while self._queue or self._partial_write:
+            if not self._partial_write:
+                self._partial_write = b"".join(self._queue)
                 self._queue.clear()
             try:
-                count = os.write(1, self._part)
+                count = os.write(1, self._partial_write)
             except OSError:
                 # Nobody reads now, or no more: the bound drops new lines.
                 return False
-            self._part = self._part[count:]
+            self._partial_write = self._partial_write[count:]
         return True
 
 
--- a/script/guards.py
+++ b/script/guards.py
@@ -193,7 +193,7 @@
           "membership"),
     Guard("a rested connection carries nothing that must run once",
           "jasperweir/helpers/http_client.py",
-          "if clocks.elapsed() - conn.idle_since <= longest_rest:",
+          "if clocks.elapsed() - conn.idle_since <= max_idle_s:",
           "if True:", "hop"),
     Guard("a caller that came back waits longer", C + "forward/life.py",
           "elif self.is_last_try:", "elif False:", "forward"),
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -23,7 +23,7 @@
 
 def answer_text(prompt: str, tokens: int) -> str:
     """Return the answer that the stand-in gives to a prompt."""
-    digest = hashing.stable(prompt) & 0xFFFFFFFF
+    digest = hashing.hash64(prompt) & 0xFFFFFFFF
     return "".join(f"{digest:08x}-{i} " for i in range(tokens))
 
 
@@ -134,7 +134,7 @@
         key: str,
         priority: int,
     ) -> Iterator[bytes]:
-        digest = f"{hashing.stable(prompt) & 0xFFFFFFFF:08x}"
+        digest = f"{hashing.hash64(prompt) & 0xFFFFFFFF:08x}"
         pause = self._token_seconds * fault.get("slow", 1)
         with _Slot(engine=self, priority=priority):
             self._prefill(prompt, fault)
