--- a/jasperweir/helpers/__init__.py
+++ b/jasperweir/helpers/__init__.py
@@ -1,1 +1,1 @@
-"""Shared helpers that hold no decision of their own."""
+"""Shared helpers: transport, codecs, settings, logs and metrics."""
--- a/jasperweir/helpers/actors.py
+++ b/jasperweir/helpers/actors.py
@@ -1,4 +1,4 @@
-"""One actor per node: all decisions of a process run on one thread."""
+"""Actor that runs all decisions of a process on one thread."""
 
 from collections.abc import Callable
 import threading
@@ -16,7 +16,7 @@
 
 
 class Tick(NamedTuple):
-    """Time has passed."""
+    """Periodic message that drives the timers of a node."""
 
 
 class Call(NamedTuple):
@@ -26,26 +26,26 @@
 
 
 class Post(NamedTuple):
-    """Run a function on the actor's thread; nobody waits for it."""
+    """Run a function on the actor's thread without waiting for it."""
 
     func: Callable[[], Any]
 
 
 class Node(Protocol):
-    """What the actor drives."""
+    """Interface of the node that an actor drives."""
 
     def on_frame(self, received: link_lib.Received) -> None:
         """Handle one frame from another process."""
 
     def on_tick(self) -> None:
-        """Let time pass."""
+        """Run the timers that are due."""
 
     def on_error(self, exc: Exception) -> None:
-        """Handle an error that a frame or tick raised."""
+        """Handle an error that a frame, a tick or a post raised."""
 
 
 class NodeActor(pykka.ThreadingActor):
-    """Serialise frames, ticks and calls of one node."""
+    """Run the frames, ticks and calls of one node one after another."""
 
     use_daemon_thread = True
 
@@ -54,7 +54,7 @@
         self._node = node
 
     def on_receive(self, message: Any) -> Any:
-        """Dispatch one message; errors never end the actor."""
+        """Dispatch one message; its errors never stop the actor."""
         match message:
             case link_lib.Received():
                 self._guard(lambda: self._node.on_frame(message))
@@ -74,10 +74,10 @@
 
 
 class Runner:
-    """Start an actor for a node and tick it.
+    """Start an actor for a node and send it periodic ticks.
 
-    Ticks that find the previous one still queued are skipped, so a busy
-    node is never flooded by its own clock.
+    A tick is skipped while the previous one is still queued, so that ticks
+    do not pile up at a busy node.
     """
 
     def __init__(self, *, tick_seconds: float) -> None:
@@ -87,7 +87,7 @@
         self._thread: threading.Thread | None = None
 
     def start(self, node: Node) -> None:
-        """Start the actor and its clock."""
+        """Start the actor and the thread that sends ticks."""
         self._ref = NodeActor.start(node=node)
         self._thread = threading.Thread(
             target=self._run, name="ticker", daemon=True
@@ -95,7 +95,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop clock and actor."""
+        """Stop the ticks and the actor."""
         self._stopping.set()
         if self._thread is not None:
             self._thread.join(timeout=2)
@@ -103,7 +103,7 @@
             self._ref.stop(block=True, timeout=2)
 
     def tell(self, message: Any) -> None:
-        """Queue a message for the actor; dropped once it has stopped."""
+        """Queue a message for the actor; a stopped actor drops it."""
         if self._ref is None:
             return
         try:
@@ -112,7 +112,15 @@
             return
 
     def call(self, func: Callable[[], T], timeout: float = 10.0) -> T:
-        """Run a function on the actor's thread and wait for its result."""
+        """Run a function on the actor's thread and wait for its result.
+
+        Args:
+            func: Function to run.
+            timeout: Longest wait, seconds.
+
+        Raises:
+            pykka.Timeout: The function did not return in time.
+        """
         assert self._ref is not None
         return cast(T, self._ref.ask(Call(func=func), timeout=timeout))
 
--- a/jasperweir/helpers/codec.py
+++ b/jasperweir/helpers/codec.py
@@ -1,4 +1,4 @@
-"""Typed, versioned frames between processes, in MessagePack."""
+"""Typed and versioned frames between processes, encoded as MessagePack."""
 
 from collections.abc import Callable
 from typing import Any
@@ -23,13 +23,13 @@
     """Header and body of every frame.
 
     Attributes:
-        version: Frame layout, FRAME_VERSION for now.
+        version: Version of the frame layout.
         kind: Registered name of the body's type.
         src: Name of the sending node.
         src_inc: Incarnation of the sender.
         src_addr: Internal address of the sender, ``ip:port``.
         dst: Name of the receiving node.
-        dst_inc: Incarnation meant by the sender, 0 for any.
+        dst_inc: Incarnation of the receiver that is addressed, 0 for any.
         body: Encoded message.
     """
 
@@ -68,15 +68,15 @@
 
 
 def pack(value: Any) -> bytes:
-    """Encode a plain value."""
+    """Encode a value without a header."""
     return _ENCODER.encode(value)
 
 
 def unpack(data: bytes, kind: type[Any]) -> Any:
-    """Decode a value of a known type.
+    """Decode a value that was encoded without a header.
 
     Raises:
-        FrameError: The bytes do not hold that type.
+        FrameError: The bytes do not hold a value of that type.
     """
     try:
         return msgspec.msgpack.decode(data, type=kind)
@@ -85,7 +85,7 @@
 
 
 class Tagged(NamedTuple):
-    """A message with its kind, for logs and files."""
+    """A message with its kind, as stored in logs and files."""
 
     kind: str
     body: msgspec.Raw
@@ -98,7 +98,7 @@
 
 
 def unpack_tagged(data: bytes) -> Any:
-    """Decode a message that pack_tagged wrote.
+    """Decode a message that ``pack_tagged`` encoded.
 
     Raises:
         FrameError: The bytes are malformed or of an unknown kind.
@@ -122,7 +122,7 @@
     dst: str,
     dst_inc: int = 0,
 ) -> bytes:
-    """Encode one message with its header."""
+    """Encode one message as a frame; see Envelope for the header fields."""
     body = msgspec.Raw(_ENCODER.encode(msg))
     env = Envelope(
         version=FRAME_VERSION,
@@ -141,7 +141,8 @@
     """Decode one frame into its header and typed message.
 
     Raises:
-        FrameError: Too large, malformed, of an unknown version or kind.
+        FrameError: The frame is too large, malformed or of an unknown
+                version or kind.
     """
     if len(data) > MAX_FRAME_BYTES:
         raise exceptions.FrameError("frame too large")
--- a/jasperweir/helpers/hashing.py
+++ b/jasperweir/helpers/hashing.py
@@ -1,4 +1,4 @@
-"""Stable hashes for ownership, subsets and content identity."""
+"""Hashes for the ownership of keys and the identity of content."""
 
 import array
 import bisect
@@ -9,25 +9,25 @@
 
 
 def hash64(text: str) -> int:
-    """Return a 64-bit hash that is equal on every node and in every run."""
+    """Return a 64-bit hash that is the same on all nodes and in all runs."""
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
 def checksum(data: bytes) -> int:
-    """Return the 64-bit checksum that guards records and frames."""
+    """Return the 64-bit checksum that detects damaged records and frames."""
     return xxhash.xxh3_64_intdigest(data)
 
 
 def sha256_hex(data: bytes) -> str:
-    """Return a cryptographic content hash, for tamper evidence."""
+    """Return the SHA-256 hash of data, in hexadecimal."""
     return hashlib.sha256(data).hexdigest()
 
 
 class HashRing:
-    """Hash ring: the owners of a key are the next names clockwise.
+    """Consistent hash ring: the next names on the ring own a key.
 
-    A look-up costs one binary search, where ``rendezvous`` costs a hash for
-    each name. Each name stands at several points, to spread more evenly.
+    A lookup costs one binary search, whereas ``rendezvous`` hashes each name.
+    Each name has several points on the ring, for an even distribution.
     """
 
     POINTS = 16
@@ -38,12 +38,17 @@
             for name in names
             for point in range(self.POINTS)
         )
-        # Plain numbers: thousands of names stand at sixteen points each.
+        # An array of integers keeps rings of thousands of names small.
         self._hashes = array.array("Q", (point for point, _ in points))
         self._names = [name for _, name in points]
 
     def list_successors(self, key: str, count: int) -> list[str]:
-        """Return the names that follow a key, without the key itself."""
+        """Return the next names on the ring after a key, except the key itself.
+
+        Args:
+            key: Key to look up; it may be a name of the ring.
+            count: Most names to return.
+        """
         size = len(self._names)
         at = bisect.bisect_right(self._hashes, hash64(f"ring\x00{key}"))
         found: list[str] = []
@@ -59,8 +64,8 @@
 def rendezvous(key: str, names: Iterable[str], count: int) -> list[str]:
     """Return the names that own a key, most preferred first.
 
-    Highest-random-weight hashing (Thaler and Ravishankar, 1998): a name that
-    joins or leaves moves only the keys that it owns.
+    Highest-random-weight hashing (Thaler and Ravishankar, 1998): when a name
+    is added or removed, only the keys that it owns move.
     """
     scored = sorted(
         ((hash64(f"{key}\x00{name}"), name) for name in names), reverse=True
--- a/jasperweir/helpers/http_client.py
+++ b/jasperweir/helpers/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 client connections on an event loop, parsed by httptools."""
+"""Asynchronous HTTP/1.1 client connections and their pool."""
 
 import asyncio
 import math
@@ -14,39 +14,48 @@
 
 _log = logs.logger("http.client")
 
-# Statuses whose answers never have a body (RFC 9110).
+# Statuses whose responses never have a body (RFC 9110).
 BODILESS_STATUSES = (204, 304)
 
 
 class ResponseListener(Protocol):
-    """Who is told what arrives for a request."""
+    """Callbacks for the response to one request."""
 
     def on_head(self, head: http_message.Head, length: int | None) -> bool:
-        """Take an answer's head; False skips an answer to something else."""
+        """Handle a response's head; False discards the response.
+
+        Args:
+            head: Status and headers.
+            length: Bytes of the body, None if unknown.
+        """
 
     def on_data(self, data: bytes) -> None:
-        """Take a piece of the body."""
+        """Handle a part of the body."""
 
     def on_end(self) -> None:
-        """The answer is whole."""
+        """Handle the end of a complete response."""
 
     def on_broken(self, reason: str) -> None:
-        """The connection ended before the answer was whole."""
+        """Handle a response that was cut off.
+
+        Args:
+            reason: Why the response cannot be completed.
+        """
 
 
 class ClientTimeouts(NamedTuple):
-    """Time limits of connections, seconds.
+    """Timeouts of connections, seconds.
 
     Attributes:
-        connect: Longest wait for a connection: a round trip to any place of
-            a deployment takes a few milliseconds, a lost packet one second.
-        dead_peer: Bytes unacknowledged for this long mean a lost peer.
-        silent: After this long without any byte the kernel asks the peer for
-            a sign of life, in whole seconds; without one for dead_peer the
-            connection is lost. The least that the kernel allows, since callers
-            leave a stream that pauses for 2 s.
-        idle: How long an idle connection may be used if its server states
-            nothing.
+        connect: Longest wait until a connection is established.
+        dead_peer: A connection with bytes unacknowledged for this long is
+            closed.
+        silent: Interval of TCP keep-alive probes on a silent connection, whole
+            seconds; without a reply for ``dead_peer`` it is closed. One second
+            is the shortest that the kernel allows; callers close a stream that
+            pauses for 2 s.
+        idle: Time for which an idle connection may be reused if its server
+            sends no ``Keep-Alive`` header.
     """
 
     connect: float = 0.6
@@ -56,12 +65,14 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection to a server; one request at a time.
+    """Connection to a server that carries one request at a time.
 
     Attributes:
-        usable_until: When an idle connection must not be used any more.
-        idle_since: When it was opened or its last answer was whole.
-        received: Whether any byte of the current answer has arrived.
+        usable_until: Time after which the connection must not be reused.
+        idle_since: Time at which the connection was opened or its last
+            response completed.
+        received: Whether any byte of the current response has arrived.
+        closed: Whether the connection is closed.
     """
 
     def __init__(self, *, times: ClientTimeouts) -> None:
@@ -81,17 +92,17 @@
         self.received = False
         self.closed = False
 
-    # Use.
+    # Requests.
 
     @property
     def idle(self) -> bool:
-        """Whether a request may be sent now."""
+        """Whether the connection is free and may still be reused."""
         if self.closed or self._listener is not None:
             return False
         return clocks.elapsed() < self.usable_until
 
     def send(self, data: bytes, listener: ResponseListener) -> None:
-        """Send one request and tell a listener what comes of it."""
+        """Send one request; the listener receives the response."""
         assert self._transport is not None
         self._listener = listener
         self._complete = False
@@ -99,7 +110,7 @@
         self._transport.write(data)
 
     def close(self) -> None:
-        """End the connection at once; the listener hears nothing more."""
+        """Close the connection at once, without a call to the listener."""
         self._listener = None
         self.closed = True
         if self._transport is not None:
@@ -108,50 +119,51 @@
     # Transport callbacks.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take over a new connection."""
+        """Set the socket options of a new connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         timeout_ms = int(self._times.dead_peer * 1000)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
-        # A connection that has gone silent for good would be written to.
+        # Keep-alive probes close a connection whose peer is unreachable before
+        # a request is sent on it.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         for option in (socket.TCP_KEEPIDLE, socket.TCP_KEEPINTVL):
             sock.setsockopt(socket.IPPROTO_TCP, option, self._times.silent)
         self._mark_idle(self._times.idle)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what the server sent."""
+        """Parse bytes from the server."""
         if self.closed:
             return
         if self._listener is None:
-            # Bytes that nobody asked for belong to no request.
+            # The server sent bytes without a request.
             self.close()
             return
         self.received = True
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserCallbackError:
-            _log.exception("error while an answer was handled")
-            self._fail("error while the answer was handled")
+            _log.exception("error while a response was handled")
+            self._fail("error while the response was handled")
             return
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as exc:
             if not self._complete:
-                self._fail(f"unreadable answer: {type(exc).__name__}")
+                self._fail(f"malformed response: {type(exc).__name__}")
                 return
-            # Whatever follows a whole answer belongs to no request.
+            # Bytes after a complete response belong to no request.
             self._keep_alive = False
         if self._complete:
             self._finish_response()
 
     def eof_received(self) -> bool:
-        """Note that the server ended the connection in order."""
+        """Record that the server closed the connection cleanly."""
         self._clean_eof = True
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End an answer that runs to the close, or report it broken."""
+        """Complete a response that the close delimits, or report it cut off."""
         self.closed = True
         if self._listener is None:
             return
@@ -165,21 +177,21 @@
     # Parser callbacks.
 
     def on_message_begin(self) -> None:
-        """Begin an answer."""
+        """Reset the state for a new response."""
         self._headers = []
         self._until_close = False
         if self._complete:
-            # A second answer in the same bytes: the connection is not used
-            # again, see _finish_response.
+            # A second response to one request is discarded, and the connection
+            # is not reused.
             self._skipping = True
             self._keep_alive = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header."""
+        """Store a header."""
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Hand on the head of an answer."""
+        """Pass the head of a response to the listener."""
         status = self._parser.get_status_code()
         if self._complete or self._listener is None:
             return
@@ -197,15 +209,15 @@
         wanted = self._listener.on_head(head, 0 if bodiless else length)
         self._skipping = not wanted
         if self._skipping and self._until_close:
-            self._fail("an answer to another request, of unknown length")
+            self._fail("a response to another request, of unknown length")
 
     def on_body(self, body: bytes) -> None:
-        """Hand on a piece of the body."""
+        """Pass a part of the body to the listener."""
         if not self._skipping and self._listener is not None:
             self._listener.on_data(body)
 
     def on_message_complete(self) -> None:
-        """Note that the answer is whole."""
+        """Record that the response is complete."""
         if self._skipping:
             self._skipping = self._complete
             return
@@ -216,8 +228,8 @@
         for part in stated.split(b","):
             name, _, value = part.strip().partition(b"=")
             if name.lower() == b"timeout" and value.strip().isdigit():
-                # The server counts from its last byte, and closes a little
-                # early when it is busy.
+                # The margin covers the transit time and servers that close
+                # early under load.
                 return min(float(value) * 0.6, self._times.idle * 4)
         return self._times.idle
 
@@ -245,10 +257,10 @@
 
 
 class ConnectionPool:
-    """Idle connections by server, and new ones when none is idle.
+    """Pool of idle connections by server.
 
     Attributes:
-        opened: How many connections were opened.
+        opened: Number of connections opened so far.
     """
 
     def __init__(self, *, times: ClientTimeouts) -> None:
@@ -259,11 +271,12 @@
     def acquire(
         self, key: str, max_idle_s: float = math.inf
     ) -> ClientConnection | None:
-        """Return an idle connection, the one used last.
+        """Return the idle connection that was used last, None without one.
 
         Args:
             key: Server and incarnation.
-            max_idle_s: Seconds; one that has been idle for longer stays.
+            max_idle_s: Longest time since its last use, seconds; a
+                connection that has been idle for longer stays in the pool.
         """
         conns = self._idle.get(key, [])
         while conns:
@@ -278,7 +291,7 @@
         return None
 
     def release(self, key: str, conn: ClientConnection) -> None:
-        """Keep a connection for later, if it may be used again."""
+        """Return a connection to the pool if it may be reused."""
         if conn.idle:
             self._idle.setdefault(key, []).append(conn)
 
@@ -288,7 +301,7 @@
             conn.close()
 
     def close_expired(self) -> None:
-        """Close connections that have been idle for too long."""
+        """Close connections that must not be reused any more."""
         for key, conns in list(self._idle.items()):
             kept = []
             for conn in conns:
@@ -305,7 +318,7 @@
         """Open a connection.
 
         Raises:
-            OSError: It was refused or not established in time.
+            OSError: The connection was refused or not established in time.
         """
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
@@ -318,5 +331,5 @@
                     port=int(port),
                 )
         except TimeoutError as exc:
-            raise OSError("connect timeout") from exc
+            raise OSError(f"timeout while connecting to {address}") from exc
         return conn
--- a/jasperweir/helpers/http_fetch.py
+++ b/jasperweir/helpers/http_fetch.py
@@ -1,4 +1,4 @@
-"""One HTTP call with its whole answer, on an event loop."""
+"""Single asynchronous HTTP requests with buffered responses."""
 
 import asyncio
 
@@ -7,10 +7,11 @@
 
 
 class ResponseCollector:
-    """Collect one answer.
+    """Response listener that buffers a whole response.
 
     Attributes:
-        result: Status and body, or an OSError if it broke off.
+        result: Future of status and body; an OSError if the response was cut
+            off.
     """
 
     def __init__(self) -> None:
@@ -20,21 +21,21 @@
         self._body: list[bytes] = []
 
     def on_head(self, head: http_message.Head, length: int | None) -> bool:
-        """Note the status."""
+        """Store the status."""
         self._status = head.status
         return True
 
     def on_data(self, data: bytes) -> None:
-        """Collect a piece of the body."""
+        """Store a part of the body."""
         self._body.append(data)
 
     def on_end(self) -> None:
-        """Give the whole answer."""
+        """Resolve the future with the complete response."""
         if not self.result.done():
             self.result.set_result((self._status, b"".join(self._body)))
 
     def on_broken(self, reason: str) -> None:
-        """Report an answer that broke off."""
+        """Fail the future of a response that was cut off."""
         if not self.result.done():
             self.result.set_exception(OSError(reason))
 
@@ -47,10 +48,10 @@
     body: bytes,
     timeout_s: float,
 ) -> tuple[int, bytes]:
-    """Return status and body of an answer.
+    """Send a request and return the status and body of its response.
 
     Raises:
-        OSError: No whole answer came in time.
+        OSError: No complete response arrived within ``timeout_s``.
     """
     conn = pool.acquire(address)
     if conn is None:
@@ -67,6 +68,8 @@
             found = await answer.result
     except TimeoutError as exc:
         conn.close()
-        raise OSError("no answer in time") from exc
+        raise OSError(
+            f"no response from {address} within {timeout_s} s"
+        ) from exc
     pool.release(address, conn)
     return found
--- a/jasperweir/helpers/http_message.py
+++ b/jasperweir/helpers/http_message.py
@@ -1,11 +1,11 @@
-"""Parts of HTTP messages shared by the asynchronous server and client."""
+"""HTTP message types and functions shared by the server and the client."""
 
 import http
 from typing import NamedTuple
 
 Headers = list[tuple[bytes, bytes]]
 
-# Headers that concern one connection only (RFC 9110, section 7.6.1).
+# Headers that apply to a single connection (RFC 9110, section 7.6.1).
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -24,14 +24,14 @@
 
 
 class Request(NamedTuple):
-    """One request, its body read whole.
+    """HTTP request with its complete body.
 
     Attributes:
-        method: Method in capitals.
-        target: Request target as it was sent, path and query.
-        headers: Names in lower case with their values, in order.
-        body: Whole body, without any transfer coding.
-        keep_alive: Whether the caller keeps the connection.
+        method: Method in upper case.
+        target: Request target as received: path and query.
+        headers: Pairs of lower-case name and value, in the order received.
+        body: Complete body after transfer decoding.
+        keep_alive: Whether the caller keeps the connection open.
     """
 
     method: bytes
@@ -56,7 +56,7 @@
 
 
 class Head(NamedTuple):
-    """Status and headers of an answer."""
+    """Status and headers of a response."""
 
     status: int
     headers: Headers
@@ -76,7 +76,7 @@
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Return the headers that are passed on by an intermediary."""
+    """Return the headers that an intermediary forwards (RFC 9110)."""
     named: set[bytes] = set()
     for key, value in headers:
         if key == b"connection":
@@ -91,14 +91,14 @@
 
 
 def write_head(first_line: bytes, headers: Headers) -> bytes:
-    """Return a message head as it goes on the wire."""
+    """Encode the head of a message."""
     lines = [first_line]
     lines += [key + b": " + value for key, value in headers]
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
 def status_line(status: int) -> bytes:
-    """Return the first line of an answer."""
+    """Encode the status line of a response."""
     try:
         phrase = http.HTTPStatus(status).phrase
     except ValueError:
@@ -107,5 +107,5 @@
 
 
 def chunk(data: bytes) -> bytes:
-    """Return one chunk of the chunked transfer coding."""
+    """Encode data as one chunk of the chunked transfer coding."""
     return b"%x\r\n%b\r\n" % (len(data), data)
--- a/jasperweir/helpers/http_server.py
+++ b/jasperweir/helpers/http_server.py
@@ -1,8 +1,7 @@
-"""HTTP/1.1 server on an event loop, parsed by httptools.
+"""Asynchronous HTTP/1.1 server.
 
-Waitress hands a request to a thread and shows neither a caller's close nor
-the moment at which bytes leave; this server shows both, see
-docs/design/platform.md.
+Unlike waitress, which ``web`` uses, it reports when a caller disconnects and
+writes bytes without delay, see docs/design/platform.md.
 """
 
 import asyncio
@@ -16,15 +15,15 @@
 from jasperweir.helpers import clocks
 from jasperweir.helpers import http_message
 
-# Unread requests of one caller that wait for the answer before them.
+# Most pipelined requests of a connection that wait for an earlier response.
 MAX_PIPELINED = 16
-# Bytes that may wait for a slow reader before an answer counts as stuck.
+# Most unsent bytes of a connection; above it the connection is reset.
 WRITE_BUFFER_BYTES = 1 << 20
 BACKLOG = 512
 
 
 class ServerLimits(NamedTuple):
-    """Bounds of what a caller may send; see the deployment's limits."""
+    """Limits on callers; see the limits of a deployment."""
 
     header_bytes: int = 16384
     body_bytes: int = 4 * 1024 * 1024
@@ -33,13 +32,14 @@
 
 
 class ResponseWriter:
-    """One request that is being answered on a connection.
+    """Writes the response to one request of a connection.
 
     Attributes:
-        request: The request.
-        on_gone: Called when the caller closes before the answer is whole.
-        started: Whether a head has been written.
-        done: Whether the answer is whole or was broken off.
+        request: Request to respond to.
+        on_gone: Called when the caller disconnects before the response is
+            complete.
+        started: Whether the head has been written.
+        done: Whether the response is complete or was aborted.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
     def reply(
         self, status: int, headers: http_message.Headers, body: bytes
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         if self.done:
             return
         fields = [*headers, (b"content-length", b"%d" % len(body))]
@@ -71,7 +71,13 @@
         headers: http_message.Headers,
         length: int | None,
     ) -> None:
-        """Send the head of an answer whose body follows in pieces."""
+        """Send the head of a response whose body is streamed.
+
+        Args:
+            status: HTTP status.
+            headers: Headers without those that frame the body.
+            length: Bytes of the body; None for the chunked transfer coding.
+        """
         if self.done:
             return
         fields = list(headers)
@@ -84,13 +90,13 @@
         self._conn.write(self._head(status, fields))
 
     def send(self, data: bytes) -> None:
-        """Send a piece of the body."""
+        """Send a part of the body."""
         if self.done or not data:
             return
         self._conn.write(http_message.chunk(data) if self._chunked else data)
 
     def end(self) -> None:
-        """Complete an answer that was sent in pieces."""
+        """Complete a streamed response."""
         if self.done:
             return
         if self._chunked:
@@ -98,7 +104,7 @@
         self._finish()
 
     def abort(self) -> None:
-        """Break the answer off, so that it cannot look complete."""
+        """Reset the connection so that the response is seen as incomplete."""
         if self.done:
             return
         self.done = True
@@ -121,7 +127,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """One caller's connection; its requests are answered in order."""
+    """Connection of a caller; responses follow the order of requests."""
 
     def __init__(self, *, server: "Server") -> None:
         self._server = server
@@ -144,7 +150,7 @@
     # Transport callbacks.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take over a new connection."""
+        """Set the socket options and register the connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         sock = transport.get_extra_info("socket")
@@ -159,7 +165,7 @@
             self._server.on_first()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell whoever works on an answer that the caller has gone."""
+        """Report the disconnect to the handler of the current request."""
         self._server.connections.discard(self)
         self._closing = True
         current = self._current
@@ -171,7 +177,7 @@
                 current.on_gone()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what a caller sent."""
+        """Parse bytes from the caller."""
         if self._closing:
             return
         if not self._reading_since:
@@ -188,13 +194,13 @@
             self._reject(431)
 
     def eof_received(self) -> bool:
-        """Treat a caller's half close as a close."""
+        """Close the connection when the caller half-closes it."""
         return False
 
     # Parser callbacks.
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Reset the state for a new request."""
         self._in_head = True
         self._head_bytes = 0
         self._body_bytes = 0
@@ -203,15 +209,15 @@
         self._body = []
 
     def on_url(self, url: bytes) -> None:
-        """Collect the request target."""
+        """Store a part of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header."""
+        """Store a header."""
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Check the head, and invite a body that waits for it."""
+        """Check the limits and confirm ``Expect: 100-continue``."""
         self._in_head = False
         size = sum(len(k) + len(v) + 4 for k, v in self._headers)
         if size + len(self._target) > self._limits.header_bytes:
@@ -225,7 +231,7 @@
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        """Collect a piece of the body."""
+        """Store a part of the body."""
         self._body_bytes += len(body)
         if self._body_bytes > self._limits.body_bytes:
             self._reject(413)
@@ -233,7 +239,7 @@
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Hand a whole request on, or keep it until its turn."""
+        """Queue a complete request."""
         self._reading_since = 0.0
         self._head_bytes = 0
         if self._closing:
@@ -249,13 +255,13 @@
             self.abort()
             return
         self._queue.append(req)
-        # Not from within the parser, which would hide a handler's errors.
+        # The parser would hide the errors of a handler called from here.
         asyncio.get_running_loop().call_soon(self._handle_next)
 
-    # Used by answers and by the server.
+    # Called by response writers and by the server.
 
     def write(self, data: bytes) -> None:
-        """Write bytes to the caller."""
+        """Write bytes; a connection whose caller reads too slowly is reset."""
         if self._transport is None or self._transport.is_closing():
             return
         self._transport.write(data)
@@ -263,11 +269,11 @@
             self.abort()
 
     def keeps_alive(self, req: http_message.Request) -> bool:
-        """Tell whether the connection stays open after an answer."""
+        """Return whether the connection stays open after a response."""
         return req.keep_alive and not self._server.stopping
 
     def on_response_done(self, answering: ResponseWriter) -> None:
-        """Go on to the next request, or close."""
+        """Start the next request or close the connection."""
         if self._current is not answering:
             return
         self._current = None
@@ -279,26 +285,26 @@
             asyncio.get_running_loop().call_soon(self._handle_next)
 
     def close(self) -> None:
-        """Close once what was written has left."""
+        """Close the connection once all written bytes are sent."""
         self._closing = True
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Reset the connection."""
+        """Reset the connection at once."""
         self._closing = True
         if self._transport is not None:
             self._transport.abort()
 
     @property
     def busy(self) -> bool:
-        """Whether a request is read, waits or is being answered."""
+        """Whether a request is being received, queued or handled."""
         return bool(
             self._current is not None or self._queue or self._reading_since
         )
 
     def check_age(self, now: float) -> None:
-        """Close a connection that is idle or slow beyond the limits."""
+        """Close the connection if it exceeds the idle or header timeout."""
         if self._current is not None or self._queue:
             return
         if self._reading_since:
@@ -320,10 +326,10 @@
         self._server.handler(self._current)
 
     def _reject(self, status: int) -> None:
-        """Answer what cannot be read, and close.
+        """Reject a request with a status and close the connection.
 
-        A request before it on the connection is still being answered; then
-        the connection just ends.
+        The status is left out while an earlier request is being handled, whose
+        response it would precede.
         """
         if self._closing:
             return
@@ -337,15 +343,17 @@
 
 
 class Server:
-    """Listen on an address and hand each request to a handler.
+    """Listen on an address and pass each request to a handler.
 
     Attributes:
-        limits: Bounds for callers; may be replaced at any time.
-        stopping: Whether connections end with their next answer.
+        address: Address to listen on, ``ip:port``.
+        handler: Called with the response writer of each request.
+        limits: Limits on callers; may be replaced at any time.
+        stopping: Whether connections close after their next response.
         connections: Open connections.
-        dead_peer_s: Seconds after which unacknowledged bytes mean that the
-            peer is gone.
-        on_first: Called when a connection opens and none was open before.
+        dead_peer_s: A connection with bytes unacknowledged for so many seconds
+            is closed.
+        on_first: Called when a connection opens while no other is open.
     """
 
     def __init__(
@@ -361,7 +369,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Begin to listen.
+        """Start listening.
 
         Raises:
             OSError: The address cannot be bound.
@@ -377,7 +385,7 @@
         )
 
     def check_ages(self) -> None:
-        """Close connections that are idle or slow beyond the limits."""
+        """Close connections that exceed the idle or header timeout."""
         now = clocks.elapsed()
         for conn in list(self.connections):
             conn.check_age(now)
@@ -388,7 +396,7 @@
             self._server.close()
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is going on."""
+        """Close the connections without a request."""
         for conn in list(self.connections):
             if not conn.busy:
                 conn.close()
--- a/jasperweir/helpers/link.py
+++ b/jasperweir/helpers/link.py
@@ -1,4 +1,4 @@
-"""Frames between processes over ZeroMQ, with optional CURVE keys."""
+"""Typed messages between processes over ZeroMQ, with optional CURVE keys."""
 
 import collections
 from collections.abc import Callable
@@ -17,14 +17,14 @@
 from jasperweir.helpers import codec
 
 POLL_MILLISECONDS = 200
-# Peers that a process keeps connections to; the one used longest ago gives way.
-# A control VM of a site with 300 nodes sends to all of them in turn: with fewer
-# connections than peers each frame would open one, and be dropped meanwhile.
-# Two descriptors each, of some 4,000.
+# Most open connections; the least recently used is closed above it. A control
+# VM sends to all nodes of a site in turn, so the limit must be above their
+# number.
+# Each connection takes two file descriptors.
 MAX_OPEN_PEERS = 600
 LINGER_MILLISECONDS = 500
 SEND_QUEUE_FRAMES = 512
-# Directions of frames, in metrics and in log lines.
+# Directions of frames in metrics and log lines.
 IN = "in"
 OUT = "out"
 _WAKE = b"w"
@@ -32,29 +32,27 @@
 
 
 class Keys(NamedTuple):
-    """CURVE key pair shared by all processes of one deployment."""
+    """CURVE key pair shared by all processes of a deployment."""
 
     public: bytes
     secret: bytes
 
 
 class Liveness(NamedTuple):
-    """How a link finds out that a peer cannot be reached.
+    """Timeouts by which a link detects unreachable peers and reconnects.
 
     Attributes:
-        ping_ms: Interval of pings on an open connection.
-        silent_ms: An open connection without any byte for so long is closed.
-        connect_ms: Longest wait for a connection.
-        retry_ms: Wait before the next try; doubled up to retry_max_ms.
-        retry_max_ms: Longest wait before the next try.
-        start_s: For this long after the link's own start a connection that is
-            not up is opened anew with the next frame for the peer, seconds.
-            After a loss of all power a first packet is lost at a VM that
-            starts a little later; entries had their configuration 0.61 s after
-            the VMs of control were up when they waited out ``connect_ms``
-            (median of 7, by their logs).
-        reopen_s: But no sooner than this after it was opened, seconds: some
-            round trips.
+        ping_ms: Interval of ZeroMQ heartbeats on an open connection.
+        silent_ms: An open connection that receives nothing for this long is
+            closed.
+        connect_ms: Longest wait until a connection is established.
+        retry_ms: Wait before a reconnect; it doubles up to ``retry_max_ms``.
+        retry_max_ms: Longest wait before a reconnect.
+        start_s: For so many seconds after the start of the link, the next frame
+            for a peer replaces a connection that is not established. When a
+            whole site starts, the first packet may be lost at a VM that starts
+            later, and ``connect_ms`` would have to pass.
+        reopen_s: Shortest time between two such attempts, seconds.
     """
 
     ping_ms: int = 500
@@ -67,7 +65,7 @@
 
 
 class Received(NamedTuple):
-    """One frame that passed all checks."""
+    """Frame that passed all checks, with its message."""
 
     env: codec.Envelope
     msg: Any
@@ -75,7 +73,7 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class TrafficCounter:
-    """Frames of one kind in one direction, and their bytes in all."""
+    """Counts frames of one kind in one direction, and their bytes."""
 
     frames: int = 0
     size: int = 0
@@ -87,26 +85,26 @@
 
 
 class _SharedKeyProvider:
-    """Credentials provider that admits the deployment's own key only."""
+    """Credentials provider that accepts only the key of the deployment."""
 
     def __init__(self, *, public: bytes) -> None:
         self._public = public
 
     def callback(self, domain: str, key: bytes) -> bool:
-        """Tell whether a client's key is admitted."""
+        """Return whether a client's key is accepted."""
         return key == self._public
 
 
 class Link:
-    """Send and receive typed messages by node name.
+    """Sends and receives typed messages by node name.
 
-    One thread owns all sockets. ``send`` may be called from any thread.
+    One thread owns all sockets; ``send`` may be called from any thread.
 
     Attributes:
         counters: Frames and bytes by direction, and drops by reason.
         by_kind: Frames and bytes by direction and kind of message.
-        blocked_peers: Names from and to which frames are dropped, for failure
-            tests.
+        blocked_peers: Names of nodes from and to which frames are dropped, in
+            failure tests.
     """
 
     def __init__(
@@ -135,7 +133,7 @@
         self._peers: collections.OrderedDict[str, zmq.Socket] = (
             collections.OrderedDict()
         )
-        # When each connection was opened, monotonic seconds.
+        # When each connection was opened, as time of clocks.elapsed().
         self._opened_at: dict[str, float] = {}
         self._started_at = 0.0
         self._outgoing: queue.SimpleQueue[tuple[str, bytes]] = (
@@ -148,7 +146,7 @@
         )
 
     def start(self) -> None:
-        """Bind and begin to deliver frames.
+        """Bind and start delivering frames.
 
         Raises:
             zmq.ZMQError: The address cannot be bound.
@@ -175,7 +173,7 @@
         self._router = self._context.socket(zmq.ROUTER)
         self._router.setsockopt(zmq.MAXMSGSIZE, codec.MAX_FRAME_BYTES)
         self._router.setsockopt(zmq.LINGER, 0)
-        # Whoever has opened a connection pings over it; this side answers.
+        # Heartbeats are set on the connecting side only; this side replies.
         if self._keys is not None:
             self._router.curve_server = True
             self._router.curve_secretkey = self._keys.secret
@@ -183,7 +181,7 @@
         self._router.bind(f"tcp://{self.address}")
 
     def stop(self) -> None:
-        """Flush what is queued and close every socket."""
+        """Flush the send queue and close all sockets."""
         self._stopping.set()
         self._wake()
         self._thread.join(timeout=5)
@@ -192,16 +190,16 @@
         self._context.destroy(linger=LINGER_MILLISECONDS)
 
     def learn(self, name: str, address: str) -> None:
-        """Remember where a node can be reached."""
+        """Store the address of a node."""
         if name and address and name != self.name:
             self._addresses[name] = address
 
     def forget(self, name: str) -> None:
-        """Drop a node's address."""
+        """Remove the address of a node."""
         self._addresses.pop(name, None)
 
     def send(self, dst: str, msg: Any, *, dst_inc: int = 0) -> None:
-        """Queue a message; it may be lost, late or doubled on the way."""
+        """Queue a message; it may be lost, delayed or duplicated."""
         self._outgoing.put((dst, self._encode(dst, msg, dst_inc)))
         self._wake()
 
@@ -222,7 +220,7 @@
             try:
                 self._wake_out.send(_WAKE, zmq.NOBLOCK)
             except zmq.ZMQError:
-                # The link thread has wake-ups queued already.
+                # The queue is full, so the link thread will wake up anyway.
                 return
 
     def _run(self) -> None:
@@ -256,7 +254,7 @@
             self._transmit(dst, data)
 
     def _transmit(self, dst: str, data: bytes) -> bool:
-        """Send a frame; return whether it has gone out."""
+        """Send a frame; return whether a connection accepted it."""
         if dst in self.blocked_peers:
             self.counters["cut"] += 1
             return False
@@ -299,14 +297,14 @@
         return sock
 
     def _opened_since(self, dst: str) -> float:
-        """Return how long a node's connection is open or opening, seconds."""
+        """Return the seconds since a node's connection was opened."""
         opened_at = self._opened_at.get(self._addresses.get(dst, ""))
         if opened_at is None:
             return math.inf
         return clocks.elapsed() - opened_at
 
     def _reopen(self, address: str) -> None:
-        """Open a connection anew that has not come up, soon after the start."""
+        """Replace a connection that isn't established, soon after the start."""
         if self._liveness is None:
             return
         now = clocks.elapsed()
@@ -325,12 +323,12 @@
         sock.setsockopt(zmq.CONNECT_TIMEOUT, self._liveness.connect_ms)
         sock.setsockopt(zmq.RECONNECT_IVL, self._liveness.retry_ms)
         sock.setsockopt(zmq.RECONNECT_IVL_MAX, self._liveness.retry_max_ms)
-        # Frames for a peer that is not connected would arrive long after
-        # they have ceased to be true.
+        # Don't queue frames for a peer that is not connected: they would be
+        # outdated on arrival.
         sock.setsockopt(zmq.IMMEDIATE, 1)
 
     def _read(self) -> bool:
-        """Deliver what has come; return whether more may be waiting."""
+        """Deliver a batch of frames; return whether more may be waiting."""
         for _ in range(_MAX_READS_PER_POLL):
             try:
                 parts = self._router.recv_multipart(zmq.NOBLOCK)
@@ -362,6 +360,6 @@
 
 
 def generate_keys() -> Keys:
-    """Return a fresh CURVE key pair."""
+    """Generate a CURVE key pair."""
     public, secret = zmq.curve_keypair()
     return Keys(public=public, secret=secret)
--- a/jasperweir/helpers/logs.py
+++ b/jasperweir/helpers/logs.py
@@ -1,4 +1,4 @@
-"""Logbook set-up: lines only for changes of state."""
+"""Logging set-up with logbook, and a rate-limited JSON handler."""
 
 import collections
 from collections.abc import Callable
@@ -14,10 +14,10 @@
 
 
 class JsonFormatter:
-    """Format a record as one JSON object a line."""
+    """Formats a record as one line of JSON."""
 
     def __call__(self, record: logbook.LogRecord, handler: object) -> str:
-        """Return the line."""
+        """Return the formatted line."""
         body = {
             "at": record.time.isoformat(),
             "level": record.level_name,
@@ -28,21 +28,20 @@
         return json.dumps(body, sort_keys=True)
 
 
-# Lines that one process may write in a second; requests of one entry are
-# some ten a second today, and a line costs about 40 us.
+# Most lines that a process writes in a second.
 MAX_LINES_PER_SECOND = 200
-# Lines that wait for a reader before new ones are dropped.
+# Most lines that wait to be written; above it new lines are dropped.
 MAX_QUEUED_LINES = 2000
 
 
 class BoundedHandler(logbook.Handler):
-    """Write structured lines to standard output, bounded, never blocking.
+    """Writes rate-limited JSON lines to standard output without blocking.
 
-    Fields of a line are the keyword arguments of the log call. Lines above
-    the rate are counted, and the count stands in a line of its own.
+    The keyword arguments of a log call become fields of its line. The next
+    line after dropped ones holds their number.
 
     Attributes:
-        on_first: Called when a line is queued and none was before.
+        on_first: Called when a line is queued while the queue is empty.
     """
 
     def __init__(self, *, level: str, node: str) -> None:
@@ -56,7 +55,7 @@
         self._partial_write = b""
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Queue a line, or count it as left out."""
+        """Queue a line, or drop and count it above the limits."""
         now = clocks.elapsed()
         if int(now) != self._second:
             self._second = int(now)
@@ -85,7 +84,7 @@
             self.on_first()
 
     def flush(self) -> bool:
-        """Write what is queued; return whether the reader took all of it."""
+        """Write the queued lines; return whether all were written."""
         while self._queue or self._partial_write:
             if not self._partial_write:
                 self._partial_write = b"".join(self._queue)
@@ -93,14 +92,14 @@
             try:
                 count = os.write(1, self._partial_write)
             except OSError:
-                # Nobody reads now, or no more: the bound drops new lines.
+                # The pipe is full or closed; emit drops lines above the limit.
                 return False
             self._partial_write = self._partial_write[count:]
         return True
 
 
 def setup_bounded(*, level: str, node: str) -> BoundedHandler:
-    """Send the records of this process to standard output, structured."""
+    """Log the records of this process to standard output as JSON lines."""
     handler = BoundedHandler(level=level.upper(), node=node)
     os.set_blocking(1, False)
     handler.push_application()
@@ -114,7 +113,12 @@
 
 
 def setup(*, style: str, level: str) -> None:
-    """Send log records of this process to standard error."""
+    """Log the records of this process to standard error.
+
+    Args:
+        style: ``json`` for JSON lines, anything else for text.
+        level: Lowest level that is logged.
+    """
     handler = logbook.StreamHandler(
         sys.stderr, level=level.upper(), format_string=TEXT_FORMAT
     )
@@ -124,5 +128,5 @@
 
 
 def logger(name: str) -> logbook.Logger:
-    """Return the logger of one component."""
+    """Return the logger of a component."""
     return logbook.Logger(name)
--- a/jasperweir/helpers/loop_link.py
+++ b/jasperweir/helpers/loop_link.py
@@ -1,4 +1,4 @@
-"""Frames between processes over ZeroMQ, driven by an event loop."""
+"""Typed messages between processes over ZeroMQ, on an event loop."""
 
 import asyncio
 from typing import Any
@@ -7,33 +7,28 @@
 
 from jasperweir.helpers import link
 
-# A frame for a connection that was opened no longer ago than this waits for it,
-# seconds: a connection within a site is up after a few milliseconds.
+# Time for which a frame waits for a new connection to be established, seconds;
+# a connection within a site takes a few milliseconds.
 OPENING_SECONDS = 0.15
-# It is tried again after this long, and after twice as long each time, seconds.
+# First interval between attempts to send such a frame, seconds; it doubles.
 OPENING_RETRY_SECONDS = 0.01
 
 
 class LoopLink(link.Link):
-    """A Link without a thread of its own; the loop's thread owns its sockets.
+    """Link whose sockets belong to the thread of the event loop.
 
-    A frame that comes wakes the loop, and one that goes wakes nobody here. On
-    a VM where one thread runs at a time each hand-over to another thread costs
-    a wake: an idle agent woke 35 times a second with a thread that polled.
-
-    The first frame for a node waits until its connection is up. When it was
-    dropped, a new leader repeated its question to an agent a second later: the
-    first expert map after a loss of all power came 0.97 and 1.58 s after the
-    lead (two days of a site with 64 agents, by their logs).
+    Without a thread that polls, an idle process wakes only for frames that
+    arrive. The first frame for a node waits until its connection is
+    established; dropping it would delay a new leader by a repeat interval.
     """
 
     def __init__(self, **settings: Any) -> None:
-        """Take the same settings as a Link; ``deliver`` runs on the loop."""
+        """Accept the settings of Link; ``deliver`` is called on the loop."""
         super().__init__(**settings)
         self._loop: asyncio.AbstractEventLoop | None = None
 
     def start(self) -> None:
-        """Bind and begin to deliver frames; call it on the running loop.
+        """Bind and start delivering frames; must be called on the running loop.
 
         Raises:
             zmq.ZMQError: The address cannot be bound.
@@ -42,11 +37,11 @@
         self._bind()
         self._descriptor = int(self._router.getsockopt(zmq.FD))
         self._loop.add_reader(self._descriptor, self._on_readable)
-        # What came before the reader was added wakes nobody.
+        # Frames that arrived before the reader was added trigger no event.
         self._loop.call_soon(self._on_readable)
 
     def stop(self) -> None:
-        """Send what is queued and close every socket."""
+        """Flush the send queues and close all sockets."""
         if self._loop is not None and not self._loop.is_closed():
             self._loop.remove_reader(self._descriptor)
         self._loop = None
@@ -55,7 +50,7 @@
         self._context.destroy(linger=link.LINGER_MILLISECONDS)
 
     def send(self, dst: str, msg: Any, *, dst_inc: int = 0) -> None:
-        """Send a message; it may be lost, late or doubled on the way."""
+        """Send a message; it may be lost, delayed or duplicated."""
         if self._loop is not None:
             data = self._encode(dst, msg, dst_inc)
             self._send_when_open(dst, data, OPENING_RETRY_SECONDS)
@@ -66,14 +61,14 @@
         if self._transmit(dst, data):
             return
         if self._opened_since(dst) + pause_s > OPENING_SECONDS:
-            # It is not about to come up, and the frame would come too late.
+            # The peer is probably unreachable.
             return
         self._loop.call_later(
             pause_s, self._send_when_open, dst, data, 2 * pause_s
         )
 
     def _on_readable(self) -> None:
-        # The descriptor tells of changes only, so all has to be read; what is
-        # left after many frames waits until the loop has done other work.
+        # The descriptor is edge-triggered, so all frames must be read; after a
+        # batch the loop runs other callbacks first.
         if self._loop is not None and self._read():
             self._loop.call_soon(self._on_readable)
--- a/jasperweir/helpers/metrics.py
+++ b/jasperweir/helpers/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and gauges of one process, served at /metrics."""
+"""Prometheus metrics of a process, served at /metrics."""
 
 from collections.abc import Mapping
 import threading
@@ -6,16 +6,16 @@
 import aioprometheus
 
 PREFIX = "jasperweir_"
-# Upper bounds of latency histograms, seconds: fine around the target times
-# of 0.1 to 0.6 s, coarse up to the longest deadlines.
+# Upper bounds of the buckets of latency histograms, seconds: fine around the
+# target times of routes, coarse up to the longest deadlines.
 SECONDS_BUCKETS = [0.01, 0.03, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0]
 
 
 class Metrics:
-    """Registry of metrics, created on first use.
+    """Registry that creates each metric on first use.
 
-    aioprometheus is built for asyncio; only its collectors and its renderer
-    are used here, under a lock, since HTTP is served by waitress.
+    A lock makes aioprometheus, which expects a single event loop, usable from
+    several threads.
     """
 
     def __init__(self, *, labels: Mapping[str, str]) -> None:
@@ -28,7 +28,7 @@
         self._values: dict[tuple[str, tuple[tuple[str, str], ...]], float] = {}
 
     def inc(self, name: str, amount: float = 1, **labels: str) -> None:
-        """Add to a counter."""
+        """Increment a counter."""
         with self._lock:
             counter = self._counters.get(name)
             if counter is None:
@@ -58,7 +58,7 @@
             gauge.set(labels, value)
 
     def observe(self, name: str, value: float, **labels: str) -> None:
-        """Add a value, in seconds, to a histogram."""
+        """Add an observation, in seconds, to a histogram."""
         with self._lock:
             histogram = self._histograms.get(name)
             if histogram is None:
@@ -73,12 +73,12 @@
             histogram.observe(labels, value)
 
     def value(self, name: str, **labels: str) -> float:
-        """Return a counter's value."""
+        """Return the value of a counter."""
         key = (name, tuple(sorted(labels.items())))
         return self._values.get(key, 0)
 
     def render(self) -> bytes:
-        """Return the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         with self._lock:
             content, _ = aioprometheus.render(self._registry, ["text/plain"])
         return content
--- a/jasperweir/helpers/settings.py
+++ b/jasperweir/helpers/settings.py
@@ -1,4 +1,4 @@
-"""INI files checked against a schema, with every error at once."""
+"""INI files validated against a schema; all problems are reported at once."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -14,12 +14,12 @@
 
 
 class Field(NamedTuple):
-    """Schema of one key.
+    """Schema of a key.
 
     Attributes:
-        check: Voluptuous validator; receives the text of the file.
-        allowed: What the error message says is allowed.
-        default: Value when the key is absent; REQUIRED if it must be there.
+        check: Voluptuous validator of the value's text.
+        allowed: Description of valid values, for error messages.
+        default: Value of an absent key; REQUIRED if the key is mandatory.
     """
 
     check: Any
@@ -31,12 +31,12 @@
 
 
 class Section(NamedTuple):
-    """Schema of one section, or of every section with a name prefix.
+    """Schema of a section, or of all sections with a common name prefix.
 
     Attributes:
         fields: Schema by key.
-        open_field: Schema for any other key; None makes them errors.
-        required: Whether the section must be there.
+        open_field: Schema of all other keys; None if they are errors.
+        required: Whether the section is mandatory.
     """
 
     fields: Mapping[str, Field]
@@ -49,7 +49,7 @@
 
 
 def number(*, low: float, high: float, default: Any = REQUIRED) -> Field:
-    """Return the schema of a number within bounds."""
+    """Return the schema of a number in a range."""
     return Field(
         check=vol.All(vol.Coerce(float), vol.Range(min=low, max=high)),
         allowed=f"a number from {low:g} to {high:g}",
@@ -58,7 +58,7 @@
 
 
 def integer(*, low: int, high: int, default: Any = REQUIRED) -> Field:
-    """Return the schema of a whole number within bounds."""
+    """Return the schema of an integer in a range."""
     return Field(
         check=vol.All(vol.Coerce(int), vol.Range(min=low, max=high)),
         allowed=f"a whole number from {low} to {high}",
@@ -67,7 +67,7 @@
 
 
 def text(*, default: Any = REQUIRED, pattern: str = r".+") -> Field:
-    """Return the schema of a text that matches a pattern."""
+    """Return the schema of a text that matches a regular expression."""
     return Field(
         check=vol.Match(f"^(?:{pattern})$"),
         allowed="any text" if pattern == r".+" else f"text like {pattern}",
@@ -76,7 +76,7 @@
 
 
 def choice(*names: str, default: Any = REQUIRED) -> Field:
-    """Return the schema of one of some words."""
+    """Return the schema of one of several words."""
     return Field(
         check=vol.In(list(names)),
         allowed="one of " + ", ".join(names),
@@ -85,19 +85,19 @@
 
 
 def boolean(*, default: Any = REQUIRED) -> Field:
-    """Return the schema of yes or no."""
+    """Return the schema of a boolean: yes, no, true or false."""
     return Field(check=_yes_no, allowed="yes or no", default=default)
 
 
 def words(*, default: Any = REQUIRED) -> Field:
-    """Return the schema of a list of words with commas between them."""
+    """Return the schema of a comma-separated list of words."""
     return Field(
         check=_words, allowed="words, comma-separated", default=default
     )
 
 
 def address(*, default: Any = REQUIRED) -> Field:
-    """Return the schema of an IP address with a port."""
+    """Return the schema of an IPv4 address with a port."""
     return Field(check=_address, allowed="IP:PORT", default=default)
 
 
@@ -124,11 +124,11 @@
 
 
 def read(path: pathlib.Path, schema: Schema) -> Values:
-    """Read and check an INI file.
+    """Read and validate an INI file.
 
     Raises:
-        SettingsError: With one line per problem, each naming the file, the
-            section, the key, what was found and what is allowed.
+        SettingsError: The file cannot be read or has problems; one line each
+            with the file, section, key, value found and values allowed.
     """
     try:
         raw = path.read_text(encoding="utf-8")
@@ -138,7 +138,11 @@
 
 
 def parse(raw: str, name: str, schema: Schema) -> Values:
-    """Check the text of an INI file; see ``read``."""
+    """Validate the text of an INI file.
+
+    Raises:
+        SettingsError: As for ``read``.
+    """
     parser = configparser.ConfigParser(interpolation=None, strict=True)
     parser.optionxform = str  # type: ignore[assignment,method-assign]
     try:
@@ -174,10 +178,10 @@
 def check_section(
     name: str, section: str, found: Mapping[str, str], schema: Schema
 ) -> dict[str, Any]:
-    """Check one section alone.
+    """Validate a single section.
 
     Raises:
-        SettingsError: The section or one of its values is wrong.
+        SettingsError: The section is unknown or has an invalid value.
     """
     spec = _section_schema(section, schema)
     if spec is None:
@@ -193,7 +197,7 @@
 
 @functools.cache
 def _compiled(check: Any) -> Callable[[str], Any]:
-    """Compile a validator once; the schemas are constants."""
+    """Compile a validator; cached because schemas are constants."""
     compiled: Callable[[str], Any] = vol.Schema(check)
     return compiled
 
--- a/jasperweir/helpers/web.py
+++ b/jasperweir/helpers/web.py
@@ -1,4 +1,4 @@
-"""HTTP served by waitress, with a small table of routes."""
+"""Threaded HTTP server based on waitress, with a table of routes."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -19,12 +19,12 @@
 CHANNEL_TIMEOUT_SECONDS = 120
 CODE_HEADER = "Jasperweir-Code"
 OUTCOME_HEADER = "Jasperweir-Outcome"
-# The wsgi server hands larger streams on in pieces of this size.
+# Buffered bytes at which waitress sends: a stream is sent without delay.
 SEND_BYTES = 1
 
 
 class Req(NamedTuple):
-    """One HTTP request; the body is read whole."""
+    """HTTP request with its complete body."""
 
     method: str
     path: str
@@ -38,7 +38,7 @@
 
 
 class Resp(NamedTuple):
-    """One HTTP response; an iterable body is streamed."""
+    """HTTP response; an iterable body is streamed."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -49,7 +49,7 @@
 
 
 class Route(NamedTuple):
-    """Handler for a method (or any, ``*``) and a path prefix."""
+    """Handler of a method, or ``*`` for any, and a path prefix."""
 
     method: str
     prefix: str
@@ -57,7 +57,7 @@
 
 
 def json_resp(status: int, value: Any, **headers: str) -> Resp:
-    """Return a JSON response."""
+    """Return a JSON response; underscores in header names become hyphens."""
     body = json.dumps(value, sort_keys=True).encode() + b"\n"
     fields = [("Content-Type", "application/json")]
     fields += [(k.replace("_", "-"), v) for k, v in headers.items()]
@@ -72,14 +72,15 @@
     vouched: bool = True,
     extra: dict[str, Any] | None = None,
 ) -> Resp:
-    """Return the response that a numbered result code stands for.
+    """Return the response for a result code.
 
     Args:
         code: Result code.
-        detail: What was found, for a person.
-        retry_after: Seconds after which to come back.
-        vouched: False if "not run" is not known of earlier tries.
-        extra: More fields of the error object.
+        detail: Human-readable details.
+        retry_after: Seconds after which the caller should retry.
+        vouched: Whether earlier attempts are known not to have run; if False,
+            the outcome "not run" becomes "unknown".
+        extra: Additional fields of the error object.
     """
     row = result_codes.TABLE[code]
     outcome = row.outcome
@@ -104,7 +105,7 @@
 
 
 class Server:
-    """Serve routes on an address with a pool of threads."""
+    """Serves routes on an address with a pool of threads."""
 
     def __init__(
         self, *, address: str, threads: int, routes: list[Route]
@@ -131,11 +132,11 @@
         )
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop accepting and close all connections."""
+        """Close the listener; no more connections are accepted."""
         self._server.close()
 
     def _app(
