--- a/features/soak/__init__.py
+++ b/features/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized soak: the real programs as processes, faults from outside."""
+"""Randomized soak test of real processes with injected faults."""
--- a/features/soak/callers.py
+++ b/features/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers and an operator, each in a thread, until they are told to stop."""
+"""Threads that act as callers and as an operator during a soak."""
 
 import http.client
 import json
@@ -11,36 +11,37 @@
 from features.soak import ledger as ledger_lib
 
 CALL_SECONDS = 5.0
-# Stands for a status where no connection came about.
-REFUSED = -1
+# Status of an attempt without a connection.
+NO_CONNECTION = -1
 PAUSE_SECONDS = 0.02
 CHANGE_SECONDS = 0.7
-# What a caller states that it will wait, milliseconds.
+# Deadline that a caller states in its request, milliseconds.
 DEADLINE_MS = 4500
-# A refused caller comes back as asked, but for no longer than this.
-RETURN_SECONDS = 1.5
+# Longest wait of a refused caller before its retry, seconds.
+MAX_RETRY_WAIT_SECONDS = 1.5
 
 
-class Got(NamedTuple):
-    """What one attempt brought.
+class AttemptResult(NamedTuple):
+    """Result of one attempt.
 
     Attributes:
-        status: Status, 0 without an answer, REFUSED without a connection.
-        reason: What broke the connection, or empty.
-        signed: Whether a target has signed the answer.
-        body: Bytes of the answer.
-        back_s: Seconds after which to come back, 0 if not asked to.
+        status: HTTP status, 0 without a response, NO_CONNECTION without a
+            connection.
+        reason: Error that closed the connection, or empty.
+        signed: Whether the response has the signature of a target.
+        body: Body of the response.
+        retry_after_s: Seconds after which to retry, 0 if none are stated.
     """
 
     status: int
     reason: str = ""
     signed: bool = False
     body: bytes = b""
-    back_s: float = 0.0
+    retry_after_s: float = 0.0
 
 
 class Caller(threading.Thread):
-    """Send requests, on kept connections and on new ones."""
+    """Sends requests over reused and new connections."""
 
     def __init__(self, *, number, world):
         super().__init__(name=f"caller-{number}")
@@ -53,35 +54,39 @@
         self._conns = {}
 
     def run(self):
-        """Call until the world stops."""
+        """Send requests until the soak stops."""
         while not self._world.stopping.is_set():
-            self._one()
+            self._call_once()
             time.sleep(self._rng.uniform(0, 2 * PAUSE_SECONDS))
 
-    def _one(self):
+    def _call_once(self):
         address = self._address()
         if address is None:
             time.sleep(0.1)
             return
         kind = self._rng.choice(("safe", "book", "stream"))
         got = self._attempt(address, kind, DEADLINE_MS)
-        if got.back_s and self._rng.random() < 0.5:
-            back_s = min(got.back_s, RETURN_SECONDS)
-            time.sleep(back_s)
-            self._attempt(address, kind, DEADLINE_MS - round(back_s * 1000))
+        if got.retry_after_s and self._rng.random() < 0.5:
+            retry_after_s = min(got.retry_after_s, MAX_RETRY_WAIT_SECONDS)
+            time.sleep(retry_after_s)
+            self._attempt(
+                address, kind, DEADLINE_MS - round(retry_after_s * 1000)
+            )
 
     def _attempt(self, address, kind, deadline_ms):
-        """Send a request once and enter what came of it in the ledger."""
+        """Send a request once and record its outcome in the ledger."""
         self._sent += 1
         rid = f"{kind}-{self._number}-{self._sent}"
-        self._world.ledger.sent(rid)
+        self._world.ledger.record_sent(rid)
         self._world.sent_to[rid] = _entry(address)
         got = self._send(address, kind, rid, deadline_ms)
-        # A connection that was refused carried no request.
-        planned = self._world.faults.planned_only and got.status != REFUSED
-        self._world.ledger.ended(
+        # Without a connection no request was sent.
+        planned = (
+            self._world.faults.planned_only and got.status != NO_CONNECTION
+        )
+        self._world.ledger.record_outcome(
             rid,
-            ledger_lib.Seen(
+            ledger_lib.AttemptOutcome(
                 kind=kind,
                 status=max(got.status, 0),
                 whole=not got.reason,
@@ -107,10 +112,10 @@
             try:
                 conn.connect()
             except OSError as exc:
-                return Got(REFUSED, repr(exc))
+                return AttemptResult(NO_CONNECTION, repr(exc))
         method = "GET" if kind == "safe" else "POST"
         body = None if kind == "safe" else rid.encode()
-        got = Got(0)
+        got = AttemptResult(0)
         try:
             conn.request(
                 method, f"/{kind}/1", body=body,
@@ -120,7 +125,7 @@
             got = got._replace(
                 status=resp.status,
                 signed=resp.getheader("Server-Signature") is not None,
-                back_s=float(resp.getheader("Retry-After") or 0.0),
+                retry_after_s=float(resp.getheader("Retry-After") or 0.0),
             )
             got = got._replace(body=resp.read())
             if resp.will_close:
@@ -140,7 +145,7 @@
 
 
 def _entry(address):
-    """Return the entry behind a proxy's address."""
+    """Return the name of the entry behind a proxy's address."""
     return f"entry-{address.partition(':')[0].rpartition('.')[2]}"
 
 
@@ -154,7 +159,7 @@
 
 
 class Operator(threading.Thread):
-    """Change the configuration and read it back, at any control VM."""
+    """Replaces the configuration and reads it back at random control VMs."""
 
     def __init__(self, *, world):
         super().__init__(name="operator")
@@ -164,7 +169,7 @@
         self.documents = {}
 
     def run(self):
-        """Change and read until the world stops."""
+        """Replace and read the configuration until the soak stops."""
         while not self._world.stopping.is_set():
             self._version += self._rng.randint(1, 4)
             document = platform_lib.document(self._version)
@@ -177,7 +182,7 @@
         body = json.dumps(document)
         status, _ = self._call("POST", "/Configuration.Replace", body)
         if status == 200:
-            self._world.ledger.acknowledged(document["version"])
+            self._world.ledger.record_acknowledged(document["version"])
 
     def _describe(self):
         floor = self._world.ledger.acked
@@ -185,10 +190,12 @@
         if status != 200:
             return
         found = json.loads(body)
-        self._world.ledger.read(found["version"], floor)
+        self._world.ledger.check_read(found["version"], floor)
         sent = self.documents.get(found["version"])
         if sent is not None and sent != found:
-            self._world.ledger.broken.append(f"operator: read {found}"[:400])
+            self._world.ledger.violations.append(
+                f"operator: read {found}"[:400]
+            )
 
     def _call(self, method, path, body):
         address = self._rng.choice(self._world.control_addresses())
--- a/features/soak/faults.py
+++ b/features/soak/faults.py
@@ -1,4 +1,4 @@
-"""Random faults from outside the processes, in series and overlapping."""
+"""Injects random faults into the processes and connections of a soak."""
 
 import contextlib
 import random
@@ -9,64 +9,64 @@
 import threading
 import time
 
-from features.soak import asking
+from features.soak import signal_check
 
 VMS = (1, 2, 3)
 STOP_SECONDS = 10.0
-# From one fault to the next.
+# Shortest and longest time between faults, seconds.
 PAUSE_SECONDS = (0.05, 0.8)
-# A wiped or killed control VM has this long before another may be lost.
+# Time for the recovery of a control VM before the next may fail, seconds.
 REPAIR_SECONDS = 6.0
 
 
-class Faults(threading.Thread):
-    """Inject faults until told to stop, then mend everything.
+class FaultInjector(threading.Thread):
+    """Injects faults until the soak stops, then removes them.
 
     Attributes:
-        planned_only: Whether only planned work is done: stops, reloads.
-        log: What was done when, for whoever traces a seed.
-        excuses: When processes were disturbed.
+        planned_only: Whether only planned stops and reloads are injected.
+        log: Injected faults with their times, to reproduce a seed.
+        disturbances: Times at which processes were disturbed.
     """
 
     def __init__(self, *, world, planned_only, asks=False):
         super().__init__(name="faults")
         self.planned_only = planned_only
         self.log = []
-        self.excuses = asking.Excuses()
+        self.disturbances = signal_check.DisturbanceLog()
         self._asks = asks
         self._rng = random.Random(f"{world.seed}/faults")
         self._world = world
         self._frozen = {}
-        # Control processes whose disks refuse writes, and until when.
-        self._full = {}
+        # Control processes whose writes fail, and until when.
+        self._failing_disks = {}
         self._control_lost_at = float("-inf")
-        # How often each process had begun when it was started last.
-        self._begun_before = {}
+        # Number of completed starts of each process at its last start.
+        self._starts_before = {}
 
     def run(self):
-        """Do one thing after the other."""
+        """Inject faults one after another."""
         kinds = [self._stop_and_start, self._reload]
         if not self.planned_only:
             kinds += [
                 self._kill, self._freeze, self._wipe, self._reset,
                 self._slow, self._cut, self._refuse_writes,
-                # What targets do is what most promises are about.
-                *[self._bend_target] * 4,
+                # Most invariants depend on the behaviour of targets.
+                *[self._disturb_target] * 4,
             ]  # fmt: skip
         if self._asks:
-            # Links stay as they are, so that what a target sees is what
-            # entries do.
+            # Without link faults a target's records show exactly what
+            # entries sent.
             kinds = [
                 self._kill, self._freeze, self._stop_and_start, self._reset,
                 *[self._ask] * 5,
             ]  # fmt: skip
         while not self._world.stopping.wait(self._rng.uniform(*PAUSE_SECONDS)):
             self._thaw_due()
-            self._mend_disks(time.monotonic())
+            self._restore_disks(time.monotonic())
             self._rng.choice(kinds)()
-        self._mend()
+        self._restore_all()
 
-    def _note(self, what):
+    def _log_fault(self, what):
         self.log.append(f"{time.monotonic() - self._world.began:.2f} {what}")
 
     # Processes.
@@ -80,30 +80,30 @@
 
     def _may_lose_control(self):
         frozen = any(name.startswith("control") for name in self._frozen)
-        frozen = frozen or bool(self._full)
+        frozen = frozen or bool(self._failing_disks)
         waited = time.monotonic() - self._control_lost_at > REPAIR_SECONDS
         return waited and not frozen
 
     def _kill(self):
         name = self._pick()
-        self._note(f"kill {name}")
-        self._end(name, signal.SIGKILL)
+        self._log_fault(f"kill {name}")
+        self._terminate(name, signal.SIGKILL)
         self._start(name)
 
     def _stop_and_start(self):
         name = self._pick()
-        self._note(f"stop {name}")
-        code = self._end(name, signal.SIGTERM)
-        # One that has not begun yet knows nothing of the signal, and has
-        # nothing that could be cut off.
-        early = code == -signal.SIGTERM and not self._has_begun(name)
+        self._log_fault(f"stop {name}")
+        code = self._terminate(name, signal.SIGTERM)
+        # A process that is still loading has no signal handler yet, and no
+        # requests that could be cut off.
+        early = code == -signal.SIGTERM and not self._has_started(name)
         if code != 0 and not early:
-            self._world.ledger.broken.append(f"{name}: ended with {code}")
+            self._world.ledger.violations.append(f"{name}: exited with {code}")
         self._start(name)
 
     def _reload(self):
         name = self._pick()
-        self._note(f"reload {name}")
+        self._log_fault(f"reload {name}")
         self._thaw(name)
         self._world.plat.signal(name, signal.SIGHUP)
 
@@ -111,8 +111,8 @@
         name = self._pick()
         if name in self._frozen:
             return
-        self._note(f"freeze {name}")
-        self.excuses.note(name, time.monotonic())
+        self._log_fault(f"freeze {name}")
+        self.disturbances.record(name, time.monotonic())
         self._world.plat.signal(name, signal.SIGSTOP)
         seconds = self._rng.uniform(0.2, 3.0)
         self._frozen[name] = time.monotonic() + seconds
@@ -122,32 +122,32 @@
             return
         number = self._rng.choice(VMS)
         name = f"control-{number}"
-        self._note(f"wipe {name}")
-        self._end(name, signal.SIGKILL)
+        self._log_fault(f"wipe {name}")
+        self._terminate(name, signal.SIGKILL)
         shutil.rmtree(self._world.plat.folder / f"data-{number}")
         self._start(name)
 
     def _refuse_writes(self):
-        """Let every write of one control process to any file fail."""
+        """Make all file writes of a control process fail."""
         name = f"control-{self._rng.choice(VMS)}"
-        if self._full or not self._may_lose_control():
+        if self._failing_disks or not self._may_lose_control():
             return
-        self._note(f"disk of {name} refuses")
+        self._log_fault(f"disk of {name} refuses")
         self._limit_files(name, 0)
         seconds = self._rng.uniform(0.3, 3.0)
-        self._full[name] = time.monotonic() + seconds
+        self._failing_disks[name] = time.monotonic() + seconds
 
-    def _mend_disks(self, now):
-        for name, until in list(self._full.items()):
+    def _restore_disks(self, now):
+        for name, until in list(self._failing_disks.items()):
             if now < until:
                 continue
-            del self._full[name]
+            del self._failing_disks[name]
             self._control_lost_at = time.monotonic()
-            self._note(f"disk of {name} takes writes")
+            self._log_fault(f"disk of {name} takes writes")
             self._limit_files(name, resource.RLIM_INFINITY)
 
     def _limit_files(self, name, size):
-        # A process that has ended meanwhile is started without a limit.
+        # A process that has exited meanwhile restarts without the limit.
         with contextlib.suppress(ProcessLookupError):
             resource.prlimit(
                 self._world.plat.procs[name].pid,
@@ -155,8 +155,8 @@
                 (size, resource.RLIM_INFINITY),
             )
 
-    def _end(self, name, what):
-        self.excuses.note(name, time.monotonic())
+    def _terminate(self, name, what):
+        self.disturbances.record(name, time.monotonic())
         if name.startswith("control"):
             self._control_lost_at = time.monotonic()
         self._thaw(name)
@@ -165,21 +165,21 @@
         try:
             return proc.wait(timeout=STOP_SECONDS)
         except subprocess.TimeoutExpired:
-            self._world.ledger.broken.append(f"{name}: did not end")
+            self._world.ledger.violations.append(f"{name}: did not exit")
             proc.kill()
             return proc.wait(timeout=STOP_SECONDS)
 
-    def _has_begun(self, name):
-        """Tell whether a process has said that it started since it was."""
-        return self._begun(name) > self._begun_before.get(name, 0)
+    def _has_started(self, name):
+        """Return whether a process logged its start since its last launch."""
+        return self._count_starts(name) > self._starts_before.get(name, 0)
 
-    def _begun(self, name):
+    def _count_starts(self, name):
         log = self._world.plat.folder / f"{name}.log"
         return log.read_text(errors="replace").count('"event":"started"')
 
     def _start(self, name):
-        self.excuses.note(name, time.monotonic())
-        self._begun_before[name] = self._begun(name)
+        self.disturbances.record(name, time.monotonic())
+        self._starts_before[name] = self._count_starts(name)
         role, _, number = name.partition("-")
         self._world.plat.start(role, int(number), bootstrap=False)
         if role == "control":
@@ -187,7 +187,7 @@
 
     def _thaw(self, name):
         if self._frozen.pop(name, None) is not None:
-            self.excuses.note(name, time.monotonic())
+            self.disturbances.record(name, time.monotonic())
             self._world.plat.signal(name, signal.SIGCONT)
             if name.startswith("control"):
                 self._control_lost_at = time.monotonic()
@@ -205,26 +205,28 @@
 
     def _reset(self):
         name = self._proxy()
-        self._note(f"reset {name}")
+        self._log_fault(f"reset {name}")
         self._world.proxies.reset(name)
 
     def _slow(self):
         name = self._proxy()
-        weather = self._world.proxies.by_name[name].weather
-        weather.delay_s = self._rng.choice((0.0, 0.02, 0.2))
-        self._note(f"delay {name} {weather.delay_s}")
+        conditions = self._world.proxies.by_name[name].conditions
+        conditions.delay_s = self._rng.choice((0.0, 0.02, 0.2))
+        self._log_fault(f"delay {name} {conditions.delay_s}")
 
     def _cut(self):
         name = self._proxy()
-        weather = self._world.proxies.by_name[name].weather
-        weather.deaf = self._rng.random() < 0.4
-        weather.mute = self._rng.random() < 0.4
-        self._note(f"cut {name} deaf={weather.deaf} mute={weather.mute}")
+        conditions = self._world.proxies.by_name[name].conditions
+        conditions.deaf = self._rng.random() < 0.4
+        conditions.mute = self._rng.random() < 0.4
+        self._log_fault(
+            f"cut {name} deaf={conditions.deaf} mute={conditions.mute}"
+        )
 
     # Targets.
 
     def _ask(self):
-        """Let a target ask for something, or for nothing more."""
+        """Make a target send or stop sending a signal to entries."""
         number = self._rng.choice(self._world.TARGETS)
         what = self._rng.choice(
             (
@@ -238,12 +240,12 @@
             )
         )
         if "limit" in what or "leaving" in what:
-            # One target for good each, so that others are left to serve.
+            # These signals are permanent, so each is limited to one target.
             number = 1 if "limit" in what else 2
-        self._note(f"target {number} {what}")
+        self._log_fault(f"target {number} {what}")
         self._world.tell(number, **what)
 
-    def _bend_target(self):
+    def _disturb_target(self):
         number = self._rng.choice(self._world.TARGETS)
         what = self._rng.choice(
             (
@@ -253,14 +255,14 @@
                 {"refuse": False},
             )
         )
-        self._note(f"target {number} {what}")
+        self._log_fault(f"target {number} {what}")
         self._world.tell(number, **what)
 
-    def _mend(self):
+    def _restore_all(self):
         for name in list(self._frozen):
             self._thaw(name)
-        self._mend_disks(float("inf"))
-        self._world.proxies.calm()
+        self._restore_disks(float("inf"))
+        self._world.proxies.restore()
         for number in self._world.TARGETS:
             self._world.tell(number, refuse=False, break_after=0)
-        self._note("mended")
+        self._log_fault("mended")
--- a/features/soak/ledger.py
+++ b/features/soak/ledger.py
@@ -1,25 +1,25 @@
-"""What callers and operators saw, held against what targets ran."""
+"""Compares what callers and operators observed with what targets ran."""
 
 import collections
 import threading
 from typing import NamedTuple
 
-# Statuses that promise that a request has not run and never will.
-PROMISES = (408, 421, 429, 503)
+# Statuses which guarantee that a request did not and will not run.
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
-class Seen(NamedTuple):
-    """One attempt of a caller.
+class AttemptOutcome(NamedTuple):
+    """Outcome of one attempt of a caller.
 
     Attributes:
         kind: ``safe``, ``book`` or ``stream``.
-        status: Status of the answer, 0 if the connection ended before one.
-        whole: Whether the answer ended as HTTP says that it should.
-        signed: Whether it bears a target's signature.
-        body: Its bytes.
-        reason: What ended the connection too early, or empty.
-        planned: Whether its connection stood and the run does planned work
-            only, so that nothing may cut it off.
+        status: Status of the response, 0 if none arrived.
+        whole: Whether the response is complete.
+        signed: Whether the response has the signature of a target.
+        body: Body of the response.
+        reason: Error that closed the connection, or empty.
+        planned: Whether the connection was established in a run with planned
+            work only, so that the response must not be cut off.
     """
 
     kind: str
@@ -32,64 +32,68 @@
 
 
 class Ledger:
-    """Attempts by id, acknowledged versions, and broken promises."""
+    """Records attempts and acknowledged versions, and checks invariants."""
 
     def __init__(self, *, events):
-        self.broken = []
+        self.violations = []
         self.attempts = {}
         self.acked = 0
         self._events = events
         self._lock = threading.Lock()
 
-    def sent(self, rid):
-        """Note an id before its request leaves."""
+    def record_sent(self, rid):
+        """Record an id before its request is sent."""
         with self._lock:
             self.attempts[rid] = None
 
-    def ended(self, rid, seen):
-        """Note what became of an attempt, and check what it shows."""
+    def record_outcome(self, rid, seen):
+        """Record and check the outcome of an attempt."""
         with self._lock:
             self.attempts[rid] = seen
         if seen.status == 200 and not seen.signed:
-            self._break(rid, "a success without a target's signature", seen)
+            self._add_violation(
+                rid, "a success without a target's signature", seen
+            )
         if seen.status == 200 and seen.whole:
             self._check_body(rid, seen)
 
-    def acknowledged(self, version):
-        """Note a version that control acknowledged."""
+    def record_acknowledged(self, version):
+        """Record a version that a control VM acknowledged."""
         with self._lock:
             self.acked = max(self.acked, version)
 
-    def read(self, version, floor):
-        """Check a read that was sent when ``floor`` had been acknowledged."""
+    def check_read(self, version, floor):
+        """Check that a read is no older than an acknowledged version."""
         if version < floor:
-            self._break("operator", f"read {version} after {floor}", None)
+            self._add_violation(
+                "operator", f"read {version} after {floor}", None
+            )
 
-    def settle(self, runs):
-        """Check attempts against the runs of all targets at the end."""
+    def check_runs(self, runs):
+        """Compare all attempts with the runs of all targets."""
         counts = collections.Counter(runs)
         for rid in counts:
             if rid not in self.attempts:
-                self._break(rid, "ran, though nobody sent it", None)
+                self._add_violation(rid, "ran without having been sent", None)
         for rid, seen in self.attempts.items():
             if seen is not None and seen.planned and not seen.whole:
-                # One that crossed the close of an idle connection and was
-                # not passed on is the caller's to repeat.
+                # A request that arrived while its idle connection was closed
+                # and that was not forwarded may be retried by the caller.
                 if counts[rid] or seen.status:
-                    self._break(rid, "cut off by planned work", seen)
+                    self._add_violation(rid, "cut off by planned work", seen)
             if not rid.startswith("book"):
                 continue
             if counts[rid] > 1:
-                self._break(rid, f"ran {counts[rid]} times", seen)
+                self._add_violation(rid, f"ran {counts[rid]} times", seen)
             if seen is None:
                 continue
-            if seen.status in PROMISES and counts[rid]:
-                self._break(rid, "refused as not run, but it ran", seen)
+            if seen.status in NOT_RUN_STATUSES and counts[rid]:
+                self._add_violation(rid, "refused as not run, but it ran", seen)
             if seen.status == 200 and seen.whole and not counts[rid]:
-                self._break(rid, "answered, but it never ran", seen)
+                self._add_violation(rid, "answered, but it never ran", seen)
 
     def served(self):
-        """Return how many attempts were served whole, by kind."""
+        """Return the number of complete successful responses by kind."""
         return collections.Counter(
             seen.kind
             for seen in self.attempts.values()
@@ -100,7 +104,7 @@
         if seen.kind != "stream":
             want = b"ran " + (rid.encode() if seen.kind == "book" else b"")
             if seen.body != want:
-                self._break(rid, "an answer to another request", seen)
+                self._add_violation(rid, "an answer to another request", seen)
             return
         ids = [
             int(line[4:])
@@ -108,8 +112,8 @@
             if line.startswith(b"id: ")
         ]
         if ids != list(range(1, self._events + 1)):
-            self._break(rid, f"events {ids}", seen)
+            self._add_violation(rid, f"events {ids}", seen)
 
-    def _break(self, rid, what, seen):
+    def _add_violation(self, rid, what, seen):
         with self._lock:
-            self.broken.append(f"{rid}: {what}; {seen}"[:400])
+            self.violations.append(f"{rid}: {what}; {seen}"[:400])
--- a/features/soak/proxy.py
+++ b/features/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, cuts one way or silences."""
+"""TCP proxy that delays bytes, resets connections or blocks a direction."""
 
 import asyncio
 import contextlib
@@ -8,41 +8,46 @@
 import threading
 
 CHUNK = 65536
-# Time for connections to end after their proxy has closed.
+# Time for connections to close after their proxy, seconds.
 CLOSE_SECONDS = 2.0
-# With this linger a close resets the connection.
+# SO_LINGER value with which a close resets the connection.
 RESET = struct.pack("ii", 1, 0)
 
 
 @dataclasses.dataclass(slots=True)
-class Weather:
-    """What a proxy does to the bytes of all its connections at present."""
+class NetworkConditions:
+    """Current network conditions of all connections of a proxy.
+
+    Attributes:
+        delay_s: Delay of each chunk, seconds.
+        deaf: Whether bytes to the server are blocked.
+        mute: Whether bytes from the server are blocked.
+    """
 
     delay_s: float = 0.0
-    # Bytes towards the server, or back from it, get no further.
     deaf: bool = False
     mute: bool = False
 
 
 class Proxy:
-    """One listening address in front of a server."""
+    """Proxy that listens on an address and connects to a server."""
 
     def __init__(self, *, listen, server):
         self.listen = listen
         self.server = server
-        self.weather = Weather()
+        self.conditions = NetworkConditions()
         self.pipes = set()
         self._listener = None
 
     async def start(self):
-        """Listen."""
+        """Start listening."""
         host, _, port = self.listen.rpartition(":")
         self._listener = await asyncio.start_server(
             self._on_connect, host, int(port)
         )
 
     def close(self):
-        """Stop listening and end every connection."""
+        """Stop listening and reset every connection."""
         self._listener.close()
         self.reset_all()
 
@@ -73,24 +78,24 @@
     async def _pump(self, reader, writer, *, to_server):
         with contextlib.suppress(OSError):
             while data := await reader.read(CHUNK):
-                await self._hold(to_server)
+                await self._apply_conditions(to_server)
                 writer.write(data)
                 await writer.drain()
-        # A close travels as the bytes do.
-        await self._hold(to_server)
+        # The conditions apply to a close as well.
+        await self._apply_conditions(to_server)
         with contextlib.suppress(OSError):
             writer.close()
 
-    async def _hold(self, to_server):
-        weather = self.weather
-        if weather.delay_s:
-            await asyncio.sleep(weather.delay_s)
-        while weather.deaf if to_server else weather.mute:
+    async def _apply_conditions(self, to_server):
+        conditions = self.conditions
+        if conditions.delay_s:
+            await asyncio.sleep(conditions.delay_s)
+        while conditions.deaf if to_server else conditions.mute:
             await asyncio.sleep(0.02)
 
 
-class Proxies:
-    """All proxies, on an event loop in a thread of its own."""
+class ProxySet:
+    """All proxies of a soak, run by an event loop in a separate thread."""
 
     def __init__(self):
         self.loop = asyncio.new_event_loop()
@@ -99,7 +104,7 @@
         self._thread.start()
 
     def add(self, name, *, listen, server):
-        """Put a proxy in front of a server."""
+        """Start a proxy for a server."""
         proxy = Proxy(listen=listen, server=server)
         self.by_name[name] = proxy
         asyncio.run_coroutine_threadsafe(proxy.start(), self.loop).result()
@@ -108,14 +113,18 @@
         """Reset the connections through a proxy."""
         self.loop.call_soon_threadsafe(self.by_name[name].reset_all)
 
-    def calm(self):
-        """Let everything through again."""
+    def restore(self):
+        """Restore normal network conditions."""
         for proxy in self.by_name.values():
-            weather = proxy.weather
-            weather.delay_s, weather.deaf, weather.mute = 0.0, False, False
+            conditions = proxy.conditions
+            conditions.delay_s, conditions.deaf, conditions.mute = (
+                0.0,
+                False,
+                False,
+            )
 
     async def _end(self):
-        self.calm()
+        self.restore()
         for proxy in self.by_name.values():
             proxy.close()
         pumps = asyncio.all_tasks() - {asyncio.current_task()}
@@ -123,7 +132,7 @@
             await asyncio.wait(pumps, timeout=CLOSE_SECONDS)
 
     def stop(self):
-        """Close every proxy and end the event loop."""
+        """Close every proxy and stop the event loop."""
         asyncio.run_coroutine_threadsafe(self._end(), self.loop).result()
         self.loop.call_soon_threadsafe(self.loop.stop)
         self._thread.join(timeout=5)
--- a/features/soak/world.py
+++ b/features/soak/world.py
@@ -1,4 +1,4 @@
-"""One seeded run of the soak: processes, proxies, callers and faults."""
+"""Seeded run of the soak: processes, proxies, callers and faults."""
 
 import http.client
 import json
@@ -6,22 +6,22 @@
 import time
 
 from features.harness import platform as platform_lib
-from features.soak import asking
 from features.soak import callers
 from features.soak import faults as faults_lib
 from features.soak import ledger as ledger_lib
 from features.soak import proxy as proxy_lib
+from features.soak import signal_check
 
 EVENTS = 8
 CALLERS = 6
-# Every fourth seed does planned work only, and then nothing may be cut off.
+# Every fourth seed does planned work only, which must not cut off requests.
 PLANNED_EVERY = 4
-# All is served again within this time after the last fault has been mended.
+# Time within which service must recover after the last fault, seconds.
 RECOVER_SECONDS = 12.0
 
 
 class World:
-    """Everything of one run."""
+    """Processes, threads and results of one run."""
 
     TARGETS = (1, 2, 3)
 
@@ -29,9 +29,9 @@
         """Prepare a run.
 
         Args:
-            seed: Decides what is drawn.
-            folder: Where processes write.
-            asks: Whether targets ask for rest, limits and to be left alone.
+            seed: Seed of all random choices.
+            folder: Folder for the files of the processes.
+            asks: Whether targets send back-off, limit and draining signals.
         """
         self.seed = seed
         self._asks = asks
@@ -41,8 +41,8 @@
         self.stopping = threading.Event()
         self.ledger = ledger_lib.Ledger(events=EVENTS)
         self.plat = platform_lib.Platform(folder)
-        self.proxies = proxy_lib.Proxies()
-        self.faults = faults_lib.Faults(
+        self.proxies = proxy_lib.ProxySet()
+        self.faults = faults_lib.FaultInjector(
             world=self,
             planned_only=seed % PLANNED_EVERY == 0 and not asks,
             asks=asks,
@@ -53,7 +53,7 @@
         ]
 
     def run(self, seconds):
-        """Run for some time; return the promises that were broken."""
+        """Run for some seconds and return the violations found."""
         try:
             self._start()
             threads = [*self._callers, self.operator, self.faults]
@@ -68,7 +68,7 @@
             self.stopping.set()
             self.plat.stop_all()
             self.proxies.stop()
-        return self.ledger.broken
+        return self.ledger.violations
 
     def _start(self):
         self._add_proxies()
@@ -85,7 +85,7 @@
             "the first configuration",
             lambda: self.plat.replace(1, first) == 200,
         )
-        self.ledger.acknowledged(7)
+        self.ledger.record_acknowledged(7)
         for number in faults_lib.VMS:
             self.plat.wait("ready", lambda n=number: self.plat.ready(n))
             self.plat.wait("service", lambda n=number: self._serves(n))
@@ -113,14 +113,14 @@
 
     def _serves(self, number):
         rid = f"safe-probe-{number}-{time.monotonic()}"
-        self.ledger.sent(rid)
+        self.ledger.record_sent(rid)
         try:
             return self.plat.request(number, "/safe/x", rid)[0] == 200
         except http.client.HTTPException:
             return False
 
     def _settle(self):
-        """Check the end: served again, nothing lost, every run accounted."""
+        """Check that service recovered, and compare attempts with runs."""
         for number in faults_lib.VMS:
             try:
                 self.plat.wait(
@@ -132,21 +132,21 @@
                     "a read", lambda n=number: self._reads(n), RECOVER_SECONDS
                 )
             except AssertionError as exc:
-                self.ledger.broken.append(f"vm-{number}: {exc}")
+                self.ledger.violations.append(f"vm-{number}: {exc}")
         runs = []
         for number in self.TARGETS:
-            told = self.plat.told(number)
-            runs += told["runs"]
+            records = self.plat.told(number)
+            runs += records["runs"]
             if self._asks:
-                self._check_asked(number, told)
-        self.ledger.settle(runs)
+                self._check_signals(number, records)
+        self.ledger.check_runs(runs)
 
-    def _check_asked(self, number, told):
-        seen = asking.Seen(
-            name=f"target-{number}", told=told, entry_of=self.sent_to.get
+    def _check_signals(self, number, records):
+        seen = signal_check.TargetObservations(
+            name=f"target-{number}", records=records, entry_of=self.sent_to.get
         )
-        excused = self.faults.excuses.between
-        self.ledger.broken += sorted(set(seen.broken(excused)))
+        excused = self.faults.disturbances.was_disturbed
+        self.ledger.violations += sorted(set(seen.find_violations(excused)))
 
     def _reads(self, number):
         try:
@@ -155,20 +155,20 @@
             return False
         if status == 200:
             found = json.loads(body)["version"]
-            self.ledger.read(found, self.ledger.acked)
+            self.ledger.check_read(found, self.ledger.acked)
         return status == 200
 
-    # What callers, operators and faults use.
+    # Used by callers, the operator and the fault injector.
 
     def control_addresses(self):
-        """Return the addresses of control, through the proxies."""
+        """Return the proxy addresses of the control VMs."""
         return [
             f"127.0.35.{number}:{platform_lib.CONTROL}"
             for number in faults_lib.VMS
         ]
 
     def lookup(self, rng):
-        """Ask some entry for addresses; return those of their proxies."""
+        """Look up entries at a random VM and return their proxy addresses."""
         number = rng.choice(faults_lib.VMS)
         try:
             found = self.plat.addresses(number)
@@ -177,8 +177,8 @@
         return [address.replace("127.0.31.", "127.0.34.") for address in found]
 
     def tell(self, number, **what):
-        """Tell a target how to behave."""
+        """Set the behaviour of a target; a failure is only logged."""
         try:
             self.plat.tell(number, **what)
         except (OSError, http.client.HTTPException) as exc:
-            self.faults.log.append(f"target {number} not told: {exc}")
+            self.faults.log.append(f"target {number} not reached: {exc}")
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the soak; script/soak.py runs more seeds by hand."""
+"""Steps for the soak; script/soak.py runs other seeds."""
 
 from behave import then
 from behave import when
@@ -9,20 +9,21 @@
 @when("the soak runs seed {seed:d} for {seconds:g} seconds")
 def step_soak(context, seed, seconds):
     context.world = world_lib.World(seed=seed, folder=context.folder)
-    context.broken = context.world.run(seconds)
+    context.violations = context.world.run(seconds)
 
 
-@when(
-    "the soak in which targets ask runs seed {seed:d} for {seconds:g} seconds"
-)
-def step_soak_asks(context, seed, seconds):
+@when("the soak with target signals runs seed {seed:d} for {seconds:g} seconds")
+def step_soak_signals(context, seed, seconds):
     context.world = world_lib.World(seed=seed, folder=context.folder, asks=True)
-    context.broken = context.world.run(seconds)
+    context.violations = context.world.run(seconds)
 
 
-@then("no promise was broken")
-def step_none_broken(context):
-    assert not context.broken, [*context.broken[:5], *context.world.faults.log]
+@then("no invariant was violated")
+def step_no_violation(context):
+    assert not context.violations, [
+        *context.violations[:5],
+        *context.world.faults.log,
+    ]
 
 
 @then("requests of each kind were served")
