--- a/features/harness/draws.py
+++ b/features/harness/draws.py
@@ -1,4 +1,4 @@
-"""Random schedules with fixed seeds."""
+"""Random but reproducible schedules of events."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -6,13 +6,14 @@
 
 
 def schedules(count, length, events, run) -> None:
-    """Run a number of drawn schedules; the same ones every time.
+    """Run random schedules, which are the same in each run.
 
     Args:
         count: Number of schedules.
-        length: Events in each.
-        events: Names of events, drawn alike.
-        run: Called with a seed and a list of events; raises on a breach.
+        length: Number of events of a schedule.
+        events: Names of events, drawn with equal probability.
+        run: Called with a seed and a list of events; raises if an invariant
+            is violated.
     """
 
     @settings(
--- a/features/harness/matrix.py
+++ b/features/harness/matrix.py
@@ -284,16 +284,18 @@
     if len(running(scene)) == 3:
         scene.wipe("c3")
     run(scene, 1.0)
-    if "e1" in scene.followers:
+    if "e1" in scene.discovery_clients:
         known = site.target("t9", "10.0.0.9:80")
-        gone = scene.followers["e1"].announce_target_gone(known, scene.now)
+        gone = scene.discovery_clients["e1"].announce_target_gone(
+            known, scene.now
+        )
         scene.perform("e1", gone)
     run(scene, 1.0)
     # The fault may strike as late as in the recovery itself.
     for _ in range(2):
         heal(scene)
         for name in ("e1", "e2"):
-            if name not in scene.followers:
+            if name not in scene.discovery_clients:
                 scene.start_entry(name)
         scene.settle(8.0)
         scene.tap.apply(scene)
@@ -304,7 +306,7 @@
     assert scene.acked[0] == 9, scene.acked
     assert set(scene.versions.values()) == {9}, scene.versions
     if acknowledged(scene, told):
-        for follower in scene.followers.values():
+        for follower in scene.discovery_clients.values():
             assert not follower.directory.serving("s", scene.now)
 
 
--- a/features/harness/nodes.py
+++ b/features/harness/nodes.py
@@ -1,4 +1,4 @@
-"""Simulated entries and agents of the membership protocol."""
+"""Simulated cluster of entries and agents for the membership protocol."""
 
 import random
 
@@ -26,7 +26,7 @@
 
 
 class NodeCluster:
-    """Entries e1.. and agents a1.. on a virtual clock and network.
+    """Entries e1, e2, ... and agents a1, ... on a virtual clock and network.
 
     Attributes:
         apart: Nodes on one side of a network partition.
@@ -116,7 +116,7 @@
                     self.post(dst, out)
 
     def seen(self, name: str, among: list[str] | None = None) -> set:
-        """Return the statuses that live entries have for a node."""
+        """Return the statuses that running entries have for a node."""
         found = set()
         for entry in among or self.entries:
             if entry in self.down or entry == name:
--- a/features/harness/site.py
+++ b/features/harness/site.py
@@ -1,4 +1,4 @@
-"""Control VMs with whole configurations, and entries that follow them."""
+"""Simulated control VMs with their discovery clients."""
 
 import collections
 import random
@@ -16,12 +16,11 @@
 
 
 class Site:
-    """Processes on a virtual clock; promises are checked as it runs.
+    """Processes on a virtual clock; invariants are checked during the run.
 
     Attributes:
-        acked: Highest version that an operator was told is committed, with
-            the time of that answer.
-        reads: Version and time of each answered read.
+        acked: Highest version whose commit was acknowledged to an operator,
+            and the time of the acknowledgement.
     """
 
     def __init__(
@@ -39,10 +38,10 @@
         self.rng = random.Random(seed)
         self.names = [f"c{i}" for i in range(1, controls + 1)]
         self.disks = {n: quorum_lib.FakeDisk(n) for n in self.names}
-        self.hints = collections.Counter()
-        self.sides = {}
+        self.saved_commits = collections.Counter()
+        self.soft_states = {}
         self.nodes = {}
-        self.followers = {}
+        self.discovery_clients = {}
         self.versions = {}
         self.cut = set()
         self.frozen = set()
@@ -50,7 +49,7 @@
         self.drop = 0.0
         self.acked = (0, 0.0)
         self.contents = {}
-        self.asked = {}
+        self.calls = {}
         self.results = {}
         self.tap = None
         for name in self.names:
@@ -79,28 +78,28 @@
             has_disk=name not in self.diskless,
         )
         acts = self.nodes[name].restore(
-            self.hints[name], self.sides.get(name, b""), self.now
+            self.saved_commits[name], self.soft_states.get(name, b""), self.now
         )
         self.perform(name, acts)
 
     def kill(self, name):
         node = self.nodes.pop(name, None)
         if node is not None:
-            self.hints[name] = node.voter.commit
-            self.sides[name] = node.discovery.soft_state(self.now)
-        self.followers.pop(name, None)
+            self.saved_commits[name] = node.voter.commit
+            self.soft_states[name] = node.discovery.soft_state(self.now)
+        self.discovery_clients.pop(name, None)
 
     def wipe(self, name):
         self.kill(name)
         self.disks[name].wipe()
-        self.hints[name] = 0
-        self.sides.pop(name, None)
+        self.saved_commits[name] = 0
+        self.soft_states.pop(name, None)
 
     def start_entry(self, name):
         node = records.Node(
             name, "entry", "p", f"{name}:80", False, self.rng.getrandbits(30), 0
         )  # fmt: skip
-        self.followers[name] = discovery_client.DiscoveryClient(
+        self.discovery_clients[name] = discovery_client.DiscoveryClient(
             node=node, seeds=tuple(self.names[:3]), now=self.now
         )
         self.versions[name] = 0
@@ -109,7 +108,7 @@
         node = records.Node(
             name, "agent", "p", "", False, self.rng.getrandbits(30), 0
         )
-        self.followers[name] = discovery_client.DiscoveryClient(
+        self.discovery_clients[name] = discovery_client.DiscoveryClient(
             node=node,
             seeds=tuple(self.names[:3]),
             now=self.now,
@@ -126,7 +125,7 @@
             for name, node in list(self.nodes.items()):
                 if name not in self.frozen:
                     self.perform(name, node.tick(self.now))
-            for name, follower in list(self.followers.items()):
+            for name, follower in list(self.discovery_clients.items()):
                 if name in self.frozen:
                     continue
                 is_open = follower.is_ready(self.now)
@@ -149,8 +148,8 @@
             if dst in self.nodes:
                 acts = self.nodes[dst].receive(src, msg, self.now)
                 self.perform(dst, acts)
-            elif dst in self.followers:
-                acts = self.followers[dst].receive(src, msg, self.now)
+            elif dst in self.discovery_clients:
+                acts = self.discovery_clients[dst].receive(src, msg, self.now)
                 self.perform(dst, acts)
 
     def is_cut(self, a, b):
@@ -194,24 +193,24 @@
         data = data or f"content of {version}".encode()
         self.contents.setdefault(version, data)
         asked = self.nodes[name].replace(version, data, self.now)
-        self.asked[(name, asked.number)] = (version, self.now)
+        self.calls[(name, asked.number)] = (version, self.now)
         self.perform(name, asked.acts)
         return (name, asked.number)
 
     def describe(self, name):
         asked = self.nodes[name].describe(self.now)
-        self.asked[(name, asked.number)] = (self.acked[0], self.now)
+        self.calls[(name, asked.number)] = (self.acked[0], self.now)
         self.perform(name, asked.acts)
         return (name, asked.number)
 
     def on_replaced(self, name, act):
-        version, _ = self.asked[(name, act.number)]
+        version, _ = self.calls[(name, act.number)]
         self.results[(name, act.number)] = act
         if version > self.acked[0]:
             self.acked = (version, self.now)
 
     def on_described(self, name, act):
-        floor, _ = self.asked[(name, act.number)]
+        floor, _ = self.calls[(name, act.number)]
         got = act.declared
         assert got.version >= floor, f"read {got.version} after {floor}"
         assert got.data == self.contents[got.version], "other content"
@@ -231,7 +230,7 @@
         return found[0] if found else ""
 
     def settle(self, seconds=8.0):
-        """Mend everything and run until calm."""
+        """Remove all faults, restart all control VMs and run."""
         self.cut.clear()
         self.frozen.clear()
         self.drop = 0.0
--- a/features/harness/world.py
+++ b/features/harness/world.py
@@ -1,4 +1,4 @@
-"""Agents, claims and callers around the life of requests, with faults."""
+"""Simulated agents and claims for request state machines, with faults."""
 
 import dataclasses
 
@@ -28,67 +28,78 @@
 
 
 class Agent:
-    """One target with the product's own run table."""
+    """Simulated target with a real run table."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.inc = 1
-        self.fresh()
+        self.reset_table()
 
-    def fresh(self) -> None:
+    def reset_table(self) -> None:
         self.table = run_table_lib.RunTable(capacity={"s": 4})
         self.table.ready = True
 
     def restart(self) -> None:
         self.inc += 1
-        self.fresh()
+        self.reset_table()
 
 
 class World:
-    """Everything outside of a request's life; ``runs`` is the truth."""
+    """Executes the actions of request state machines and injects faults.
+
+    Attributes:
+        runs: Every run that a target actually started.
+        faults: Fault to inject, by number of the action.
+        injected: Faults that were injected.
+        replies: Result code, outcome and number of runs of each reply.
+    """
 
     def __init__(self, faults: dict[int, str]) -> None:
         self.agents = {n: Agent(n) for n in ("t1", "t2", "t3")}
         self.claims: dict[str, claim_messages.Record] = {}
         self.runs: list[str] = []
         self.faults = dict(faults)
-        self.count = 0
-        self.met: list[str] = []
+        self.action_count = 0
+        self.injected: list[str] = []
         self.log: list[str] = []
-        self.told: list[tuple[result_codes.Code, Outcome, int]] = []
+        self.replies: list[tuple[result_codes.Code, Outcome, int]] = []
 
     def request(self, rid: str, *, keyed: bool, first: bool) -> str:
-        life = state_machine_lib.RequestStateMachine(
+        machine = state_machine_lib.RequestStateMachine(
             rid=rid, keyed=keyed, first=first, budget=retry.RetryBudget()
         )
         before = len(self.runs)
         self.offset = 0
-        action = life.handle(events.Admitted())
+        action = machine.handle(events.Admitted())
         for _ in range(60):
             if isinstance(action, actions.Answer):
-                return self.tell(action.code, action.vouched, before, keyed)
+                return self.record_reply(
+                    action.code, action.vouched, before, keyed
+                )
             if isinstance(action, actions.Finish):
-                self.finish(life)
-                return self.tell(result_codes.Code.OK, True, before, keyed)
+                self.finish(machine)
+                return self.record_reply(
+                    result_codes.Code.OK, True, before, keyed
+                )
             if isinstance(action, actions.Replay):
                 code = result_codes.Code.REPLAYED
-                return self.tell(code, True, before, keyed)
-            step = life.step.value
-            event = self.meet(action, life, keyed)
+                return self.record_reply(code, True, before, keyed)
+            step = machine.step.value
+            event = self.execute(action, machine, keyed)
             if event is None:
                 return "entry died"
             self.log.append(f"{step}: {_show(action)} -> {_show(event)}")
-            action = life.handle(event)
+            action = machine.handle(event)
         raise AssertionError(f"no end: {self.log}")
 
-    def tell(self, code, vouched, before, keyed) -> str:
+    def record_reply(self, code, vouched, before, keyed) -> str:
         outcome = result_codes.TABLE[code].outcome
         if outcome == Outcome.NOT_RUN and not vouched:
             outcome = Outcome.UNKNOWN
-        # A keyed request speaks for its key, any other for itself.
+        # The outcome covers all runs of a key, or of the request without one.
         ran = len(self.runs) - (0 if keyed else before)
         self.log.append(f"told: {code.name} {outcome}, runs {ran}")
-        self.told.append((code, outcome, ran))
+        self.replies.append((code, outcome, ran))
         if outcome == Outcome.NOT_RUN:
             assert ran == 0, self.log
         if outcome == Outcome.COMPLETED:
@@ -97,11 +108,11 @@
             assert len(self.runs) <= 1, self.log
         return str(outcome)
 
-    def meet(self, action, life, keyed):
-        fault = self.faults.get(self.count, "")
-        self.count += 1
+    def execute(self, action, machine, keyed):
+        fault = self.faults.get(self.action_count, "")
+        self.action_count += 1
         if fault and fault in FAULTS[type(action)]:
-            self.met.append(fault)
+            self.injected.append(fault)
         else:
             fault = ""
         match fault:
@@ -115,10 +126,10 @@
             case actions.Pick():
                 return self.pick(action, fault)
             case actions.Claim():
-                return self.claim(action, life, fault)
+                return self.claim(action, machine, fault)
             case actions.Relay():
-                return self.relay(life, fault)
-        return self.network(action, life, keyed, fault)
+                return self.relay(machine, fault)
+        return self.network(action, machine, keyed, fault)
 
     def pick(self, action, fault):
         fit = [a for n, a in self.agents.items() if n not in action.exclude]
@@ -127,7 +138,7 @@
         self.picked = fit[0]
         return events.Picked(name=fit[0].name, inc=fit[0].inc, http=fit[0].name)
 
-    def claim(self, action, life, fault):
+    def claim(self, action, machine, fault):
         if fault == "blind":
             return events.Claimed(verdict=claim_const.BLIND, record=None)
         known = self.claims.get("key")
@@ -135,9 +146,9 @@
             key="key",
             digest=1,
             rid=action.rid,
-            target=life.target.name,
-            target_inc=life.target.inc,
-            http=life.target.http,
+            target=machine.target.name,
+            target_inc=machine.target.inc,
+            http=machine.target.http,
             version=action.expect + 1,
         )
         version = known.version if known else 0
@@ -148,12 +159,12 @@
             return events.Claimed(verdict=claim_const.BLIND, record=None)
         return events.Claimed(verdict=claim_const.GRANTED, record=mine)
 
-    def network(self, action, life, keyed, fault):
+    def network(self, action, machine, keyed, fault):
         if isinstance(action, actions.Attach | actions.Revoke):
             agent = self.agents[action.target]
             inc = action.target_inc
         else:
-            agent, inc = self.agents[life.target.name], life.target.inc
+            agent, inc = self.agents[machine.target.name], machine.target.inc
         match fault:
             case "unsent":
                 return events.Unsent()
@@ -209,9 +220,9 @@
                 return events.Head()
         raise AssertionError(action)
 
-    def relay(self, life, fault):
-        held = life.record
-        name = held.target if held else life.target.name
+    def relay(self, machine, fault):
+        held = machine.record
+        name = held.target if held else machine.target.name
         agent = self.agents[name]
         match fault:
             case "break at once":
@@ -223,22 +234,22 @@
                 agent.restart()
                 return events.Broke(relayed=self.offset)
             case "run breaks":
-                agent.table.finish(life.run_rid, 0.0, whole=False)
+                agent.table.finish(machine.run_rid, 0.0, whole=False)
                 return events.Broke(relayed=self.offset, ended=True)
-        agent.table.finish(life.run_rid, 0.0, whole=True)
+        agent.table.finish(machine.run_rid, 0.0, whole=True)
         return events.Whole()
 
-    def finish(self, life) -> None:
-        if life.record is not None and life.record.rid == life.rid:
-            self.claims["key"] = life.record._replace(
+    def finish(self, machine) -> None:
+        if machine.record is not None and machine.record.rid == machine.rid:
+            self.claims["key"] = machine.record._replace(
                 state=claim_const.STATE_FINISHED,
                 answer=b"whole",
-                version=life.record.version + 1,
+                version=machine.record.version + 1,
             )
 
 
 def _show(value) -> str:
-    """Return a short text of an action or event for golden sessions."""
+    """Return a short text of an action or event for the golden files."""
     fields = [
         f"{f.name}={getattr(value, f.name)!r}"
         for f in dataclasses.fields(value)
--- a/features/steps/declared_steps.py
+++ b/features/steps/declared_steps.py
@@ -73,7 +73,7 @@
 @then("every entry applies version {version:d}")
 def step_entries_apply(context, version):
     site = context.site
-    assert all(site.versions[n] == version for n in site.followers)
+    assert all(site.versions[n] == version for n in site.discovery_clients)
 
 
 @then("every operator is told to retry")
@@ -171,7 +171,7 @@
     site = context.site
     for name in site.names:
         site.kill(name)
-        site.sides.pop(name, None)
+        site.soft_states.pop(name, None)
     for name in site.names:
         site.start(name)
 
@@ -238,7 +238,7 @@
     site.run(1.0)
     for node in site.nodes.values():
         assert node.discovery.directory.serving("s", site.now)
-    for follower in site.followers.values():
+    for follower in site.discovery_clients.values():
         assert follower.directory.serving("s", site.now)
 
 
@@ -263,7 +263,7 @@
 @then("no entry routes requests to the target")
 def step_target_excluded(context):
     site = context.site
-    for follower in site.followers.values():
+    for follower in site.discovery_clients.values():
         assert not follower.directory.serving("s", site.now)
 
 
@@ -278,28 +278,30 @@
     site = context.site
     site.start_entry("e9")
     site.run(1.5)
-    assert not site.followers["e9"].directory.serving("s", site.now)
+    assert not site.discovery_clients["e9"].directory.serving("s", site.now)
 
 
 @then("every entry can confirm its configuration")
 def step_certain(context):
     site = context.site
     assert all(
-        f.is_version_confirmed(site.now) for f in site.followers.values()
+        f.is_version_confirmed(site.now)
+        for f in site.discovery_clients.values()
     )
 
 
 @when("every entry is cut off from all control VMs")
 def step_cut_entries(context):
     site = context.site
-    site.cut = {(e, c) for e in site.followers for c in site.names}
+    site.cut = {(e, c) for e in site.discovery_clients for c in site.names}
 
 
 @then("no entry can confirm its configuration")
 def step_uncertain(context):
     site = context.site
     assert not any(
-        f.is_version_confirmed(site.now) for f in site.followers.values()
+        f.is_version_confirmed(site.now)
+        for f in site.discovery_clients.values()
     )
 
 
@@ -364,7 +366,7 @@
         assert isinstance(got, node_lib.Described), f"no read: {got}"
         assert got.declared.version >= min_version
     newest = got.declared.version
-    behind = [n for n in site.followers if site.versions[n] != newest]
+    behind = [n for n in site.discovery_clients if site.versions[n] != newest]
     assert not behind, f"{behind} behind {newest}"
 
 
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -139,7 +139,9 @@
     site = context.site
     site.announce("c1", target(born))
     site.run(1.0)
-    acts = site.followers["e1"].announce_target_gone(target(old), site.now)
+    acts = site.discovery_clients["e1"].announce_target_gone(
+        target(old), site.now
+    )
     site.perform("e1", acts)
     site.run(1.0)
 
@@ -157,7 +159,7 @@
 @then("every entry names its start at {born:d}")
 def step_every(context, born):
     site = context.site
-    for name, follower in site.followers.items():
+    for name, follower in site.discovery_clients.items():
         found = follower.directory.serving("s", site.now)
         assert [t.born for t in found] == [born], (name, found)
 
--- a/features/steps/large_steps.py
+++ b/features/steps/large_steps.py
@@ -130,7 +130,7 @@
     got = {
         dst
         for _, dst in context.recorder.full_lists(records.Targets)
-        if dst in context.site.followers
+        if dst in context.site.discovery_clients
     }
     assert got == {name}, got
 
@@ -145,7 +145,7 @@
 @then("no entry lists them as serving")
 def step_not_serving(context):
     site = context.site
-    for name, follower in site.followers.items():
+    for name, follower in site.discovery_clients.items():
         serving = {
             t.target_id for t in follower.directory.serving("s", site.now)
         }
@@ -199,7 +199,7 @@
 def close_entry(context, name):
     """Close an entry as on a stop; it still sends heartbeats."""
     site = context.site
-    follower = site.followers[name]
+    follower = site.discovery_clients[name]
     follower.is_ready = lambda now: False
     site.perform(name, follower.set_open(is_open=False, now=site.now))
 
@@ -207,10 +207,13 @@
 @then('no entry offers "{name}" to callers')
 def step_not_offered(context, name):
     site = context.site
-    for other, follower in site.followers.items():
+    for other, follower in site.discovery_clients.items():
         named = {node.name for node in follower.open_entries(site.now)}
         assert name not in named, other
-        assert len(named) == len(site.followers) - 1, (other, len(named))
+        assert len(named) == len(site.discovery_clients) - 1, (
+            other,
+            len(named),
+        )
 
 
 @then("fewer than {count:d} full lists of entries have been sent")
@@ -244,7 +247,7 @@
 def step_heartbeats_to_all_with_disk(context):
     site = context.site
     with_disk = set(site.names) - site.diskless
-    wanted = {(e, c) for e in site.followers for c in with_disk}
+    wanted = {(e, c) for e in site.discovery_clients for c in with_disk}
     assert heartbeat_pairs(context) == wanted
 
 
@@ -270,7 +273,7 @@
 def step_starts_with_diskless_seeds(context):
     site = context.site
     node = records.Node("late", "entry", "p", "late:80", False, 77, 0)
-    site.followers["late"] = discovery_client.DiscoveryClient(
+    site.discovery_clients["late"] = discovery_client.DiscoveryClient(
         node=node, seeds=tuple(sorted(site.diskless)), now=site.now
     )
     site.versions["late"] = 0
@@ -280,7 +283,7 @@
 def step_ready_in_time(context):
     site = context.site
     site.run(2.0)
-    assert site.followers["late"].node.open
+    assert site.discovery_clients["late"].node.open
 
 
 # Address answers.
--- a/features/steps/request_steps.py
+++ b/features/steps/request_steps.py
@@ -50,7 +50,7 @@
     for at in range(STEPS):
         for fault in ALL_FAULTS:
             simulation = run_requests({at: fault}, keyed_with_resends())
-            context.occurred.update(simulation.met)
+            context.occurred.update(simulation.injected)
     # Attach and Revoke need an earlier fault.
     for at in range(4, STEPS):
         for fault in ALL_FAULTS:
@@ -58,7 +58,7 @@
                 simulation = run_requests(
                     {3: earlier, at: fault}, keyed_with_resends()
                 )
-                context.occurred.update(simulation.met)
+                context.occurred.update(simulation.injected)
 
 
 @when("a keyed request meets every pair of faults")
@@ -75,7 +75,7 @@
     """Run each fault that occurs, followed by each other fault."""
     for one in range(STEPS):
         for first in ALL_FAULTS:
-            if not run_requests({one: first}, requests).met:
+            if not run_requests({one: first}, requests).injected:
                 continue
             for two in range(one + 1, STEPS + 4):
                 for second in ALL_FAULTS:
@@ -105,7 +105,7 @@
 
 @when("the request is resent and finds no target")
 def resend_without_target(context):
-    context.simulation.faults = {context.simulation.count: "no target"}
+    context.simulation.faults = {context.simulation.action_count: "no target"}
     context.outcome = context.simulation.request("b", keyed=True, first=False)
 
 
