--- a/jasperweir/components/balance/neighbours.py
+++ b/jasperweir/components/balance/neighbours.py
@@ -153,4 +153,4 @@
     def _find_cell(self, name: str) -> int:
         if self._cell_count < 2:
             return 0
-        return hashing.stable(name) % self._cell_count
+        return hashing.hash64(name) % self._cell_count
--- a/jasperweir/components/forward/crash_detector.py
+++ b/jasperweir/components/forward/crash_detector.py
@@ -53,7 +53,7 @@
         self,
         *,
         clock: core.Clock,
-        pool: http_client.Pool,
+        pool: http_client.ConnectionPool,
         directory: directory_lib.Directory,
         recorder: recorder_lib.Recorder,
     ) -> None:
--- a/jasperweir/components/forward/early_requests.py
+++ b/jasperweir/components/forward/early_requests.py
@@ -17,7 +17,7 @@
         deadline: When it is rejected, monotonic seconds.
     """
 
-    answering: http_server.Answering
+    answering: http_server.ResponseWriter
     caller_headers: dialect_lib.CallerHeaders
     arrived_at: float
     deadline: float
--- a/jasperweir/components/forward/exchange.py
+++ b/jasperweir/components/forward/exchange.py
@@ -44,7 +44,7 @@
         *,
         number: int,
         forwarder: "forwarder_lib.Forwarder",
-        answering: http_server.Answering,
+        answering: http_server.ResponseWriter,
         state: request_state.RequestState,
         service: str,
     ) -> None:
@@ -92,7 +92,7 @@
         max_idle_s = math.inf
         if not self.state.match.route.is_idempotent:
             max_idle_s = const.MAX_IDLE_SECONDS
-        conn = self._forwarder.pool.take(_pool_key(target), max_idle_s)
+        conn = self._forwarder.pool.acquire(_pool_key(target), max_idle_s)
         if conn is not None:
             self._send_request(conn)
             return
@@ -110,7 +110,7 @@
             return
         self._connect_task = None
         if self.done:
-            self._forwarder.pool.give(_pool_key(target), conn)
+            self._forwarder.pool.release(_pool_key(target), conn)
             return
         self._send_request(conn)
 
@@ -120,13 +120,13 @@
         state = self.state
         if self._forwarder.targets.backpressure.bars(self._target, now):
             # The target sent backpressure while the connection was opened.
-            self._forwarder.pool.give(_pool_key(self._target), conn)
+            self._forwarder.pool.release(_pool_key(self._target), conn)
             self._release_slot()
             self._apply(state.on_target_unavailable(self._target.target_id))
             return
         patience_s = state.remaining_s(now) - const.RESPONSE_MARGIN_SECONDS
         if patience_s < const.MIN_ATTEMPT_SECONDS:
-            self._forwarder.pool.give(_pool_key(self._target), conn)
+            self._forwarder.pool.release(_pool_key(self._target), conn)
             self._release_slot()
             self._apply(state.on_timeout(at_target=False))
             return
@@ -230,7 +230,7 @@
         conn = self._conn
         if self.done or conn is None or self._target is None:
             return
-        self._forwarder.pool.give(_pool_key(self._target), conn)
+        self._forwarder.pool.release(_pool_key(self._target), conn)
         self._forwarder.outcomes.on_completed(self, self._sent_at)
         if self._head is not None and self._head.status < 300:
             self._forwarder.crash_detector.on_completed(self)
@@ -287,7 +287,7 @@
         now = self._forwarder.now()
         target = self._target
         if hard:
-            self._forwarder.pool.drop(_pool_key(target))
+            self._forwarder.pool.close_idle(_pool_key(target))
         if fault in (Fault.UNSENT, Fault.UNKNOWN):
             self._forwarder.balancer.failed(target.target_id, now, hard=hard)
         self._release_target()
--- a/jasperweir/components/forward/forwarder.py
+++ b/jasperweir/components/forward/forwarder.py
@@ -69,12 +69,12 @@
         directory: directory_lib.Directory,
         neighbours: neighbours_lib.Neighbours,
         bounds: budget_lib.BudgetBounds,
-        times: http_client.ClientTimes,
+        times: http_client.ClientTimeouts,
         metrics: metrics_lib.Metrics,
     ) -> None:
         self.dialect = dialect
         self.balancer = balancer_lib.Balancer(rng=rng)
-        self.pool = http_client.Pool(times=times)
+        self.pool = http_client.ConnectionPool(times=times)
         self.index: index_lib.DeploymentIndex | None = None
         self.is_certain: Callable[[], bool] = lambda: True
         self.on_work: Callable[[], None] = lambda: None
@@ -157,7 +157,7 @@
 
     # Arrival.
 
-    def handle(self, answering: http_server.Answering) -> None:
+    def handle(self, answering: http_server.ResponseWriter) -> None:
         """Handle a caller's request."""
         req = answering.request
         index = self.index
@@ -173,7 +173,7 @@
 
     def _buffer_early(
         self,
-        answering: http_server.Answering,
+        answering: http_server.ResponseWriter,
         caller_headers: dialect_lib.CallerHeaders,
     ) -> None:
         """Buffer a request until a configuration has arrived."""
@@ -219,7 +219,7 @@
 
     def _accept(
         self,
-        answering: http_server.Answering,
+        answering: http_server.ResponseWriter,
         caller_headers: dialect_lib.CallerHeaders,
         index: index_lib.DeploymentIndex,
         arrived: float,
@@ -257,7 +257,7 @@
 
     def _deny(
         self,
-        answering: http_server.Answering,
+        answering: http_server.ResponseWriter,
         caller_headers: dialect_lib.CallerHeaders,
         denial: matching.Denial,
     ) -> None:
@@ -454,7 +454,7 @@
     def tidy(self) -> None:
         """Close idle connections and drop expired backpressure state."""
         now = self.now()
-        self.pool.tidy()
+        self.pool.close_expired()
         self.targets.tidy(now)
         self._recorder.record_signal_counts(
             self.targets.backpressure.counts(now)
@@ -499,7 +499,7 @@
 
     def _turn_away_request(
         self,
-        answering: http_server.Answering,
+        answering: http_server.ResponseWriter,
         caller_headers: dialect_lib.CallerHeaders | None,
         code: Code,
         detail: str,
--- a/jasperweir/components/forward/rejections.py
+++ b/jasperweir/components/forward/rejections.py
@@ -21,7 +21,7 @@
 
     def reject(
         self,
-        answering: http_server.Answering,
+        answering: http_server.ResponseWriter,
         caller_headers: dialect_lib.CallerHeaders | None,
         code: Code,
         now: float,
--- a/jasperweir/daemons/quarantine_page.py
+++ b/jasperweir/daemons/quarantine_page.py
@@ -35,7 +35,7 @@
         self._now = now
         self._on_lifted = on_lifted
 
-    def handle(self, answering: http_server.Answering) -> None:
+    def handle(self, answering: http_server.ResponseWriter) -> None:
         """Answer a request of an operator."""
         req = answering.request
         quarantined = self._ledger.list_quarantined(self._now())
--- a/jasperweir/daemons/site_control.py
+++ b/jasperweir/daemons/site_control.py
@@ -380,7 +380,7 @@
             if service.engine is not None
         }
 
-    def _handle_call(self, answering: http_server.Answering) -> None:
+    def _handle_call(self, answering: http_server.ResponseWriter) -> None:
         acts = self._calls.handle(answering, self._node, self._host.now())
         self._perform(acts)
 
--- a/jasperweir/daemons/site_entry.py
+++ b/jasperweir/daemons/site_entry.py
@@ -123,7 +123,7 @@
                 name=cfg.internal, place=cfg.place
             ),
             bounds=bounds,
-            times=http_client.ClientTimes(),
+            times=http_client.ClientTimeouts(),
             metrics=self._host.metrics,
         )
         self._share_scheduled = False
@@ -335,11 +335,11 @@
 
     # Readiness checks and address lookups.
 
-    def _on_ready_check(self, answering: http_server.Answering) -> None:
+    def _on_ready_check(self, answering: http_server.ResponseWriter) -> None:
         ready = self._discovery.node.open and not self._stop_requested_at
         answering.reply(200 if ready else 503, [], b"")
 
-    def _on_lookup(self, answering: http_server.Answering) -> None:
+    def _on_lookup(self, answering: http_server.ResponseWriter) -> None:
         lookup = self._dialect.lookup(answering.request)
         if lookup is None:
             answering.reply(404, [], b"")
--- a/jasperweir/helpers/http_fetch.py
+++ b/jasperweir/helpers/http_fetch.py
@@ -1,4 +1,4 @@
-"""One HTTP call with its whole answer, on an event loop."""
+"""Single asynchronous HTTP requests with buffered responses."""
 
 import asyncio
 
@@ -6,11 +6,12 @@
 from jasperweir.helpers import http_message
 
 
-class Answer:
-    """Collect one answer.
+class ResponseCollector:
+    """Response listener that buffers a whole response.
 
     Attributes:
-        result: Status and body, or an OSError if it broke off.
+        result: Future of status and body; an OSError if the response was cut
+            off.
     """
 
     def __init__(self) -> None:
@@ -20,39 +21,39 @@
         self._body: list[bytes] = []
 
     def on_head(self, head: http_message.Head, length: int | None) -> bool:
-        """Note the status."""
+        """Store the status."""
         self._status = head.status
         return True
 
     def on_data(self, data: bytes) -> None:
-        """Collect a piece of the body."""
+        """Store a part of the body."""
         self._body.append(data)
 
     def on_end(self) -> None:
-        """Give the whole answer."""
+        """Resolve the future with the complete response."""
         if not self.result.done():
             self.result.set_result((self._status, b"".join(self._body)))
 
     def on_broken(self, reason: str) -> None:
-        """Report an answer that broke off."""
+        """Fail the future of a response that was cut off."""
         if not self.result.done():
             self.result.set_exception(OSError(reason))
 
 
 async def fetch(
-    pool: http_client.Pool,
+    pool: http_client.ConnectionPool,
     address: str,
     method: bytes,
     target: bytes,
     body: bytes,
     timeout_s: float,
 ) -> tuple[int, bytes]:
-    """Return status and body of an answer.
+    """Send a request and return the status and body of its response.
 
     Raises:
-        OSError: No whole answer came in time.
+        OSError: No complete response arrived within ``timeout_s``.
     """
-    conn = pool.take(address)
+    conn = pool.acquire(address)
     if conn is None:
         conn = await pool.open(address)
     headers = [(b"host", address.encode())]
@@ -60,13 +61,15 @@
         headers.append((b"content-type", b"application/json"))
     headers.append((b"content-length", b"%d" % len(body)))
     line = method + b" " + target + b" HTTP/1.1"
-    answer = Answer()
+    answer = ResponseCollector()
     conn.send(http_message.write_head(line, headers) + body, answer)
     try:
         async with asyncio.timeout(timeout_s):
             found = await answer.result
     except TimeoutError as exc:
         conn.close()
-        raise OSError("no answer in time") from exc
-    pool.give(address, conn)
+        raise OSError(
+            f"no response from {address} within {timeout_s} s"
+        ) from exc
+    pool.release(address, conn)
     return found
