--- a/features/harness/engines.py
+++ b/features/harness/engines.py
@@ -290,7 +290,7 @@
 
     def read_choices(self, name, rank):
         if name not in self.counted:
-            return expert_counts.NO_CHOICES
+            return expert_counts.NO_COUNTS
         return self.counters[name].update(tuple(rank.counts), self.now)
 
     def send(self, src, dst, msg):
--- a/features/harness/group_simulation.py
+++ b/features/harness/group_simulation.py
@@ -8,9 +8,9 @@
 
 import random
 
-from jasperweir.components.balance import gate as gate_lib
-from jasperweir.components.balance import late as late_lib
+from jasperweir.components.balance import late_admission as late_lib
 from jasperweir.components.balance import passes as passes_lib
+from jasperweir.components.balance import wait_queue as gate_lib
 
 ENGINES = 12
 SLOTS = 6
@@ -53,15 +53,17 @@
         pause_s=PAUSE_SECONDS, fixed_s=0.027, slots=SLOTS
     )
     limit = passes_lib.PassLimit(bounds=bounds)
-    gate = gate_lib.Gate()
+    gate = gate_lib.WaitQueue()
     now, number, next_at = 0.0, 0, 0.0
     running, ended, lost = [], [], 0
     while now < seconds:
         while next_at <= now:
             until = next_at + 1.0
             timely = next_at + TARGET_SECONDS - 0.2
-            gate.wait(
-                gate_lib.Waiting(1, next_at, number, until, next_at, timely)
+            gate.enqueue(
+                gate_lib.QueuedRequest(
+                    1, next_at, number, until, next_at, timely
+                )
             )
             number += 1
             next_at += rng.expovariate(rate)
@@ -98,11 +100,13 @@
         pause_s=PAUSE_SECONDS, fixed_s=0.027, slots=SLOTS
     )
     limit = passes_lib.PassLimit(bounds=bounds)
-    gate = gate_lib.Gate()
+    gate = gate_lib.WaitQueue()
     arrivals, number, retried = {}, 0, set()
     for _ in range(late_count):
-        gate.wait(
-            gate_lib.Waiting(1, -1.5, number, LATE_WAIT_SECONDS, 0.0, -1.0)
+        gate.enqueue(
+            gate_lib.QueuedRequest(
+                1, -1.5, number, LATE_WAIT_SECONDS, 0.0, -1.0
+            )
         )
         arrivals[number] = -1.5
         number += 1
@@ -111,8 +115,8 @@
     while now < seconds + 6.0:
         while next_at <= now and next_at < seconds:
             timely = next_at + TARGET_SECONDS - 0.2
-            gate.wait(
-                gate_lib.Waiting(
+            gate.enqueue(
+                gate_lib.QueuedRequest(
                     1, next_at, number, next_at + 1.0, next_at, timely
                 )
             )
@@ -124,13 +128,15 @@
                 retried.add(refused)
                 retry_at = now + rng.uniform(*RETRY_SECONDS)
                 until = retry_at + LATE_WAIT_SECONDS
-                gate.wait(
-                    gate_lib.Waiting(1, -1.5, refused, until, retry_at, -1.0)
+                gate.enqueue(
+                    gate_lib.QueuedRequest(
+                        1, -1.5, refused, until, retry_at, -1.0
+                    )
                 )
         capacity = min(ENGINES * SLOTS, limit.streams(now) * ENGINES)
         late_slots = None
         if limit_late:
-            late_slots = late_lib.most_open(
+            late_slots = late_lib.max_open_requests(
                 slots=ENGINES * SLOTS, targets=ENGINES, limit=limit, now=now
             ) - len(running)
         free = int(capacity) - len(running)
--- a/features/harness/hop.py
+++ b/features/harness/hop.py
@@ -7,7 +7,7 @@
 from features.harness import site
 from jasperweir import core
 from jasperweir.components.balance import budget
-from jasperweir.components.balance import neighbours
+from jasperweir.components.balance import entry_cell
 from jasperweir.components.deployment import index
 from jasperweir.components.deployment import model
 from jasperweir.components.directory import directory
@@ -138,7 +138,9 @@
         return [int(x[4:]) for x in self.body.split(b"\n") if x[:3] == b"id:"]
 
 
-def route(*, kind=model.Kind.STREAM, timeout_s=5.0, resumable=True, attempts=2):
+def route(
+    *, kind=model.RouteKind.STREAM, timeout_s=5.0, resumable=True, attempts=2
+):
     """Return a route to one service."""
     return model.Route(
         name="r",
@@ -177,7 +179,7 @@
             rng=random.Random(1),
             dialect=Dialect(),
             directory=self.directory,
-            neighbours=neighbours.Neighbours(name="e1", place="p"),
+            neighbours=entry_cell.EntryCell(name="e1", place="p"),
             bounds=bounds,
             times=http_client.ClientTimeouts(),
             metrics=metrics.Metrics(labels={}),
--- a/features/harness/limits.py
+++ b/features/harness/limits.py
@@ -6,7 +6,7 @@
 import random
 
 from features.harness import site
-from jasperweir.components.backpressure import asked
+from jasperweir.components.backpressure import backpressure
 from jasperweir.components.backpressure import limit_shares
 from jasperweir.components.backpressure import signals
 
@@ -42,7 +42,7 @@
         self.rng = random.Random(seed)
         self.backpressures = {}
         for name in self.names:
-            self.backpressures[name] = asked.Backpressure(name=name)
+            self.backpressures[name] = backpressure.Backpressure(name=name)
             self.backpressures[name].shares = shares_class(name=name)
         self.starts = dict.fromkeys(self.names, 0.0)
         self.ends = {}
@@ -97,7 +97,7 @@
 
     def _call(self, at, name):
         state = self.backpressures[name]
-        if not state.open_to([self.target], at):
+        if not state.list_available([self.target], at):
             return ()
         state.on_chosen(self.target, at)
         return ((at + self.rng.uniform(*NETWORK_SECONDS), "arrive", name),)
--- a/features/harness/matrix.py
+++ b/features/harness/matrix.py
@@ -307,7 +307,7 @@
     assert set(scene.versions.values()) == {9}, scene.versions
     if acknowledged(scene, told):
         for follower in scene.discovery_clients.values():
-            assert not follower.directory.serving("s", scene.now)
+            assert not follower.directory.list_ready("s", scene.now)
 
 
 def founding_cell(tap: Tap) -> None:
--- a/features/harness/quarantine.py
+++ b/features/harness/quarantine.py
@@ -6,7 +6,7 @@
 from jasperweir.components.quarantine import const
 from jasperweir.components.quarantine import fingerprint
 from jasperweir.components.quarantine import ledger as ledger_lib
-from jasperweir.components.quarantine import spread
+from jasperweir.components.quarantine import replication
 from jasperweir.helpers import codec
 from jasperweir.helpers import http_message
 
@@ -38,7 +38,7 @@
 
 def compute(req, customer):
     """Return the fingerprint of a request."""
-    return fingerprint.of(fingerprint.subject(req, customer))
+    return fingerprint.compute(fingerprint.subject(req, customer))
 
 
 class EntryNode:
@@ -46,7 +46,7 @@
 
     def __init__(self):
         self.ledger = ledger_lib.Ledger()
-        self.spread = spread.EntrySpread(ledger=self.ledger)
+        self.spread = replication.EntrySpread(ledger=self.ledger)
         # Crashes with the time of their check, the request and the target.
         self.checks = collections.deque()
 
@@ -71,7 +71,7 @@
         self.cell = cell
         for number in range(controls):
             self.data_centres[f"c{number}"] = number % data_centres
-            self.controls[f"c{number}"] = spread.ControlSpread()
+            self.controls[f"c{number}"] = replication.ControlSpread()
         for number in range(entries):
             self.data_centres[f"e{number}"] = number % data_centres
             self.entries[f"e{number}"] = EntryNode()
@@ -98,7 +98,7 @@
         if name in self.entries:
             self.entries[name] = EntryNode()
         else:
-            self.controls[name] = spread.ControlSpread()
+            self.controls[name] = replication.ControlSpread()
         self.frozen.discard(name)
 
     def cut_pair(self, one, two):
@@ -178,7 +178,7 @@
     def send_marks(self, name, marks):
         """Send marks of an entry to its peers and the control VMs."""
         names = [*self._peers(name), *self.reachable_controls(name)]
-        self.post(name, spread.tell(marks, names))
+        self.post(name, replication.send_marks(marks, names))
 
     # Requests.
 
@@ -191,7 +191,7 @@
             return False
         self.sends.append((self.now, name, request_name))
         if not crashes:
-            marks = node.ledger.absolve(content(request_name), self.now)
+            marks = node.ledger.clear_marks(content(request_name), self.now)
             self.send_marks(name, marks)
             return True
         self.crashes[request_name].append(self.now)
--- a/features/harness/scripted_targets.py
+++ b/features/harness/scripted_targets.py
@@ -126,7 +126,7 @@
     def __init__(self, *, count, attempts=2):
         self.clock = core.ManualClock(start=100.0)
         route = hop.route(
-            kind=model.Kind.SAFE, resumable=False, attempts=attempts
+            kind=model.RouteKind.SAFE, resumable=False, attempts=attempts
         )
         self.one = hop.Hop(route=route, clock=self.clock)
         self.targets = [
--- a/features/steps/backpressure_state_steps.py
+++ b/features/steps/backpressure_state_steps.py
@@ -7,7 +7,7 @@
 from behave import when
 
 from features.harness import site
-from jasperweir.components.backpressure import asked
+from jasperweir.components.backpressure import backpressure
 from jasperweir.components.backpressure import signals
 from jasperweir.components.balance import messages
 
@@ -28,7 +28,7 @@
 @then('the back-off is "{seconds}" s, and it is draining: {draining}')
 def step_signals(context, seconds, draining):
     backoff_s = None if seconds == "none" else float(seconds)
-    seen = (context.signals.rest_s, context.signals.draining)
+    seen = (context.signals.backoff_s, context.signals.draining)
     assert seen == (backoff_s, draining == "yes"), seen
 
 
@@ -40,7 +40,7 @@
 def send_signals(context, sent):
     """Answer with signals as a new target."""
     context.now = 100.0
-    context.backpressure = asked.Backpressure()
+    context.backpressure = backpressure.Backpressure()
     context.target = site.target(target_id="t", address="10.1.0.1:80")
     context.target = context.target._replace(born=1000)
     context.backpressure.on_answer(
@@ -50,7 +50,7 @@
 
 @given("a target that has asked for a back-off of 3 s")
 def step_backs_off(context):
-    send_signals(context, signals.Signals(rest_s=BACKOFF_SECONDS))
+    send_signals(context, signals.Signals(backoff_s=BACKOFF_SECONDS))
 
 
 @given("a target that is draining")
@@ -71,7 +71,7 @@
 
 @when("it asks for a back-off of {seconds:g} s")
 def step_shorter_backoff(context, seconds):
-    sent = signals.Signals(rest_s=seconds)
+    sent = signals.Signals(backoff_s=seconds)
     context.backpressure.on_answer(
         context.target, sent, context.now, context.now
     )
@@ -80,20 +80,20 @@
 @when("{seconds:g} s pass for that target")
 def step_pass(context, seconds):
     context.now += seconds
-    context.backpressure.tidy(lambda _: context.target, context.now)
+    context.backpressure.prune(lambda _: context.target, context.now)
 
 
 @then("it may get {count} requests")
 @then("it may get requests")
 def step_may_get(context, count=""):
-    found = context.backpressure.open_to([context.target], context.now)
+    found = context.backpressure.list_available([context.target], context.now)
     assert bool(found) == (count != "no"), found
 
 
 @when("{count:d} targets back off, and other entries report {more:d} more")
 def step_many(context, count, more):
-    context.backpressure = asked.Backpressure()
-    sent = signals.Signals(rest_s=BACKOFF_SECONDS)
+    context.backpressure = backpressure.Backpressure()
+    sent = signals.Signals(backoff_s=BACKOFF_SECONDS)
     for number in range(count):
         target = site.target(target_id=f"t{number}", address="10.1.0.1:80")
         context.backpressure.on_answer(target, sent, 100.0, 100.0)
@@ -101,7 +101,9 @@
         messages.Refusing(f"o{number}", 0, 1.0) for number in range(more)
     )
     for first in range(0, more, 500):
-        context.backpressure.on_told(refusing[first : first + 500], 100.0)
+        context.backpressure.on_peer_refusals(
+            refusing[first : first + 500], 100.0
+        )
 
 
 @then("the state of at most {most:d} is kept")
@@ -111,7 +113,7 @@
 
 @then("none is kept once they are gone and their back-offs are over")
 def step_dropped(context):
-    context.backpressure.tidy(lambda _: None, 200.0)
+    context.backpressure.prune(lambda _: None, 200.0)
     assert len(context.backpressure) == 0, len(context.backpressure)
 
 
@@ -122,7 +124,9 @@
     other = context.target._replace(target_id="other")
     for quarter in range(seconds * 4):
         now = 100.0 + quarter / 4
-        found = context.backpressure.open_to([context.target, other], now)
+        found = context.backpressure.list_available(
+            [context.target, other], now
+        )
         if context.target in found:
             context.tried.append(now)
             context.backpressure.on_chosen(context.target, now)
@@ -142,7 +146,7 @@
 def step_unreadable_backoff(context, value, count):
     sent = signals.read(rest=[value.encode()], limit=[], leaving=[])
     send_signals(context, sent)
-    context.changes = [asked.Change.UNREADABLE]
+    context.changes = [backpressure.Change.UNREADABLE]
     for _ in range(count - 1):
         context.changes += context.backpressure.on_answer(
             context.target, sent, context.now, context.now
@@ -151,5 +155,5 @@
 
 @then("this is reported once, and it may get requests")
 def step_reported_once(context):
-    assert context.changes == [asked.Change.UNREADABLE], context.changes
-    assert context.backpressure.open_to([context.target], context.now)
+    assert context.changes == [backpressure.Change.UNREADABLE], context.changes
+    assert context.backpressure.list_available([context.target], context.now)
--- a/features/steps/backpressure_steps.py
+++ b/features/steps/backpressure_steps.py
@@ -308,7 +308,7 @@
         await one.start()
         other = one.directory.get("other")
         now = one.forwarder.now()
-        backoff = signals.Signals(rest_s=BACKOFF_SECONDS)
+        backoff = signals.Signals(backoff_s=BACKOFF_SECONDS)
         one.forwarder.targets.backpressure.on_answer(other, backoff, now, now)
         await one.turn_slow(5.0)
         one.close()
@@ -340,7 +340,7 @@
     assert entry.targets[0].arrivals
     target = entry.one.directory.get("t0")
     asked = entry.one.forwarder.targets.backpressure
-    assert asked.open_to([target], entry.clock.now) == [target]
+    assert asked.list_available([target], entry.clock.now) == [target]
 
 
 @when(
--- a/features/steps/declared_steps.py
+++ b/features/steps/declared_steps.py
@@ -237,9 +237,9 @@
     site.announce("c1", site_lib.target(sequence=5))
     site.run(1.0)
     for node in site.nodes.values():
-        assert node.discovery.directory.serving("s", site.now)
+        assert node.discovery.directory.list_ready("s", site.now)
     for follower in site.discovery_clients.values():
-        assert follower.directory.serving("s", site.now)
+        assert follower.directory.list_ready("s", site.now)
 
 
 @when('the target reports to "{name}" that it is draining')
@@ -264,7 +264,7 @@
 def step_target_excluded(context):
     site = context.site
     for follower in site.discovery_clients.values():
-        assert not follower.directory.serving("s", site.now)
+        assert not follower.directory.list_ready("s", site.now)
 
 
 @when('an older heartbeat of the target reaches "{name}"')
@@ -278,7 +278,7 @@
     site = context.site
     site.start_entry("e9")
     site.run(1.5)
-    assert not site.discovery_clients["e9"].directory.serving("s", site.now)
+    assert not site.discovery_clients["e9"].directory.list_ready("s", site.now)
 
 
 @then("every entry can confirm its configuration")
--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -10,15 +10,15 @@
 from features.harness import hop
 from features.harness import site
 from jasperweir import result_codes
-from jasperweir.components.balance import advice
 from jasperweir.components.balance import balancer
 from jasperweir.components.balance import budget
+from jasperweir.components.balance import entry_cell
 from jasperweir.components.balance import forecast
-from jasperweir.components.balance import gate
 from jasperweir.components.balance import messages
-from jasperweir.components.balance import neighbours
 from jasperweir.components.balance import outage
-from jasperweir.components.balance import patience
+from jasperweir.components.balance import retry_advice
+from jasperweir.components.balance import wait_estimate
+from jasperweir.components.balance import wait_queue
 from jasperweir.components.deployment import index
 from jasperweir.components.deployment import model
 from jasperweir.components.directory import records
@@ -28,10 +28,10 @@
 from jasperweir.components.forward import request_state
 
 KINDS = {
-    "safe": (model.Kind.SAFE, 2, False),
-    "unsafe": (model.Kind.UNSAFE, 1, False),
-    "stream": (model.Kind.STREAM, 2, False),
-    "resumable": (model.Kind.STREAM, 2, True),
+    "safe": (model.RouteKind.SAFE, 2, False),
+    "unsafe": (model.RouteKind.UNSAFE, 1, False),
+    "stream": (model.RouteKind.STREAM, 2, False),
+    "resumable": (model.RouteKind.STREAM, 2, True),
 }
 
 
@@ -192,7 +192,7 @@
     )
     context.cells = {}
     for node in nodes:
-        cell = neighbours.Neighbours(name=node.name, place=node.place)
+        cell = entry_cell.EntryCell(name=node.name, place=node.place)
         cell.on_entries(nodes)
         context.cells[node] = cell
 
@@ -227,7 +227,7 @@
 @then("each entry prefers {count:d} targets")
 def step_preferred_targets(context, count):
     for node, cell in context.cells.items():
-        found = cell.home(context.targets, 0.0)
+        found = cell.preferred_targets(context.targets, 0.0)
         assert len(found) == count, len(found)
         if count < len(context.targets):
             assert {target.place for target in found} == {node.place}
@@ -239,7 +239,7 @@
     load = collections.Counter()
     for cell in context.cells.values():
         for draw in draws:
-            found = cell.home(context.targets, draw)
+            found = cell.preferred_targets(context.targets, draw)
             for target in found:
                 load[target.target_id] += 1 / len(found)
     mean = sum(load.values()) / len(context.targets)
@@ -306,10 +306,10 @@
 
 @when("requests of priority 2, 1 and 2 wait and one slot is free")
 def step_wait(context):
-    waiting = gate.Gate()
+    waiting = wait_queue.WaitQueue()
     for number, priority in enumerate((2, 1, 2)):
-        waiting.wait(
-            gate.Waiting(priority, 5.0 + number, number, 9.0, 5.0)
+        waiting.enqueue(
+            wait_queue.QueuedRequest(priority, 5.0 + number, number, 9.0, 5.0)
         )  # fmt: skip
     context.admitted = waiting.admit(1, 6.0)
 
@@ -321,7 +321,7 @@
 
 @when("20 requests are rejected within a second")
 def step_rejected(context):
-    return_advice = advice.ReturnAdvice(rng=random.Random(2))
+    return_advice = retry_advice.RetryAdvice(rng=random.Random(2))
     context.delays = [
         return_advice.after_refusal(5.0 + i / 20) for i in range(20)
     ]
@@ -339,9 +339,9 @@
 
 @given("callers of a route of {timeout_s:g} s that stated {stated:g} s before")
 def step_patience(context, timeout_s, stated):
-    context.patience = patience.UsualPatience()
+    context.patience = wait_estimate.WaitEstimator()
     context.timeout_s = timeout_s
-    context.patience.used(make_route("safe", timeout_s), stated)
+    context.patience.estimate_waited_s(make_route("safe", timeout_s), stated)
 
 
 @when("the timeout is changed to {timeout_s:g} s")
@@ -377,7 +377,9 @@
 
 @then("a caller that states {stated:g} s has used {used:g} s")
 def step_used(context, stated, used):
-    got = context.patience.used(make_route("safe", context.timeout_s), stated)
+    got = context.patience.estimate_waited_s(
+        make_route("safe", context.timeout_s), stated
+    )
     assert round(got, 3) == used, got
 
 
@@ -396,13 +398,15 @@
 
 @when("a retry waits whose caller has used 2 s, and an older first attempt")
 def step_two_wait(context):
-    waiting = gate.Gate()
+    waiting = wait_queue.WaitQueue()
     for number, used_s in enumerate((0.0, 2.0)):
         first_attempt_at = (
             make_request_state("safe", used_s=used_s).first_attempt_at
             + 0.05 * number
         )
-        waiting.wait(gate.Waiting(1, first_attempt_at, number, 109.0, 100.0))
+        waiting.enqueue(
+            wait_queue.QueuedRequest(1, first_attempt_at, number, 109.0, 100.0)
+        )
     context.admitted = waiting.admit(1, 101.0)
 
 
@@ -440,7 +444,7 @@
 
 @then("it has no outage")
 def step_no_outage(context):
-    assert not context.outage.lasts(context.now)
+    assert not context.outage.is_active(context.now)
 
 
 @then("it has an outage, with one probe by a waiting request every {pause:g} s")
@@ -448,14 +452,14 @@
     taken = 0
     for n in range(100):
         at = context.now + n * 0.01
-        assert context.outage.lasts(at)
+        assert context.outage.is_active(at)
         taken += context.outage.take_probe(at)
     assert taken == round(1.0 / pause), taken
 
 
 @when("{count:d} requests are rejected during an outage")
 def step_rejected_in_outage(context, count):
-    return_advice = advice.ReturnAdvice(rng=random.Random(2))
+    return_advice = retry_advice.RetryAdvice(rng=random.Random(2))
     context.delays = [return_advice.during_outage() for _ in range(count)]
 
 
@@ -477,7 +481,7 @@
     others = messages.Queue("s", context.own.timely * (context.entries - 1), 0)
     context.admitted = [
         sum(
-            forecast.part(slots, context.own, others, rng).total
+            forecast.allocate_slots(slots, context.own, others, rng).total
             for _ in range(context.entries)
         )
         for _ in range(400)
@@ -506,8 +510,8 @@
 def step_both_see(context):
     rng = random.Random(5)
     context.admitted = (
-        forecast.part(3, context.late, context.timely, rng).total,
-        forecast.part(3, context.timely, context.late, rng).total,
+        forecast.allocate_slots(3, context.late, context.timely, rng).total,
+        forecast.allocate_slots(3, context.timely, context.late, rng).total,
     )
 
 
--- a/features/steps/gone_steps.py
+++ b/features/steps/gone_steps.py
@@ -64,7 +64,7 @@
 
 @then("requests to the address go to the {name}")
 def step_ready(context, name):
-    found = context.directory.serving("s", context.now)
+    found = context.directory.list_ready("s", context.now)
     assert [t.target_id for t in found] == [name], found
 
 
--- a/features/steps/hop_steps.py
+++ b/features/steps/hop_steps.py
@@ -206,7 +206,9 @@
     try:
         for number in range(count):
             for name in context.nodes:
-                context.link.send(name, config_messages.Pull(held=number))
+                context.link.send(
+                    name, config_messages.ContentRequest(held=number)
+                )
             # A frame for a node that is not connected yet is dropped.
             time.sleep(1.0)
         context.opened = context.link.counters["opened"]
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -100,7 +100,7 @@
 
 @then("the target is not listed any more")
 def step_unlisted(context):
-    assert not context.directory.serving("s", context.now)
+    assert not context.directory.list_ready("s", context.now)
 
 
 @given('a site whose entries know a target "t1" born at {born:d}')
@@ -158,7 +158,7 @@
 def step_every_entry(context, born):
     site = context.site
     for name, follower in site.discovery_clients.items():
-        found = follower.directory.serving("s", site.now)
+        found = follower.directory.list_ready("s", site.now)
         assert [t.born for t in found] == [born], (name, found)
 
 
@@ -301,8 +301,8 @@
     for call in context.calls:
         if not isinstance(call, calls_lib.Announce):
             continue
-        packed = codec.pack(records.News(target=call.target))
-        assert codec.unpack(packed, records.News).target == call.target
+        packed = codec.pack(records.TargetUpdate(target=call.target))
+        assert codec.unpack(packed, records.TargetUpdate).target == call.target
 
 
 @when("{count:d} damaged responses of engines are read")
--- a/features/steps/large_steps.py
+++ b/features/steps/large_steps.py
@@ -106,7 +106,7 @@
 @when('one target leaves, entry "{name}" misses the change, and 3 seconds pass')
 def step_target_leaves_missed(context, name):
     context.recorder.lost = lambda src, dst, msg: (
-        dst == name and isinstance(msg, records.News)
+        dst == name and isinstance(msg, records.TargetUpdate)
     )
     announce_leaving(context, 3)
     context.site.run(3.0)
@@ -122,14 +122,14 @@
 
 @then("no full list of targets has been sent")
 def step_no_full_target_list(context):
-    assert not context.recorder.full_lists(records.Targets)
+    assert not context.recorder.full_lists(records.TargetList)
 
 
 @then('only entry "{name}" has received a full list of targets')
 def step_only_one_full_target_list(context, name):
     got = {
         dst
-        for _, dst in context.recorder.full_lists(records.Targets)
+        for _, dst in context.recorder.full_lists(records.TargetList)
         if dst in context.site.discovery_clients
     }
     assert got == {name}, got
@@ -137,7 +137,7 @@
 
 @then("fewer than {count:d} full lists of targets have been sent")
 def step_few_full_target_lists(context, count):
-    sent = context.recorder.full_lists(records.Targets)
+    sent = context.recorder.full_lists(records.TargetList)
     assert len(sent) < count, len(sent)
 
 
@@ -147,7 +147,7 @@
     site = context.site
     for name, follower in site.discovery_clients.items():
         serving = {
-            t.target_id for t in follower.directory.serving("s", site.now)
+            t.target_id for t in follower.directory.list_ready("s", site.now)
         }
         assert not serving & context.leaving, (name, serving & context.leaving)
 
@@ -164,7 +164,7 @@
 )
 def step_entry_closes_missed(context, name, other):
     context.recorder.lost = lambda src, dst, msg: (
-        dst == other and isinstance(msg, records.NodeNews)
+        dst == other and isinstance(msg, records.NodeListUpdate)
     )
     close_entry(context, name)
     context.site.run(3.0)
@@ -177,14 +177,14 @@
         node=node, seeds=("c1",), now=0.0
     )
     nodes = tuple(node._replace(name=name) for name in ("e1", "e3", "e5"))
-    held = records.Nodes(digest=digest, nodes=nodes)
+    held = records.NodeList(digest=digest, nodes=nodes)
     context.client.receive("c1", held, 0.0)
 
 
 @when("it receives a change from digest {before:d} to {after:d}")
 def step_receives_change(context, before, after):
     gone = context.client.node._replace(name="e5", open=False)
-    news = records.NodeNews(before=before, after=after, nodes=(gone,))
+    news = records.NodeListUpdate(before=before, after=after, nodes=(gone,))
     context.client.receive("c1", news, 0.1)
 
 
@@ -218,7 +218,7 @@
 
 @then("fewer than {count:d} full lists of entries have been sent")
 def step_few_full_entry_lists(context, count):
-    sent = context.recorder.full_lists(records.Nodes)
+    sent = context.recorder.full_lists(records.NodeList)
     assert len(sent) < count, len(sent)
 
 
@@ -231,7 +231,7 @@
     return {
         (src, dst)
         for src, dst, msg in context.recorder.sent
-        if isinstance(msg, records.NodeBeat)
+        if isinstance(msg, records.NodeHeartbeat)
     }
 
 
@@ -379,10 +379,10 @@
             f"t{number}", f"10.0.0.{number // 2}:80", sequence, presence
         )
         directory.merge(record, now, rng.choice((0.0, 0.0, 5.0)))
-        directory.serving("s", now)
+        directory.list_ready("s", now)
         now += rng.choice((0.0, 1.0, 10.0))
         # The sequence number is not part of the list.
-        cached = [t.target_id for t in directory.serving("s", now)]
+        cached = [t.target_id for t in directory.list_ready("s", now)]
         computed = directory._find_ready("s", now).targets
         fresh = [t.target_id for t in computed]
         if cached != fresh:
@@ -421,7 +421,7 @@
         address=f"a{number}",
         term=1,
         state=state._replace(prepared=version, armed=0),
-        choices=expert_counts.NO_CHOICES,
+        choices=expert_counts.NO_COUNTS,
         experts=rank.held_map,
     )
 
@@ -431,7 +431,7 @@
     group, now = context.group, context.dep.now
     ranks = len(context.dep.group.ranks)
     for number in range(ranks):
-        group.on_beat(
+        group.on_heartbeat(
             f"a{number}", engine_beat(context, number, done=False), now
         )
     group.tick(now)
@@ -439,11 +439,11 @@
     every = group.members.all
     group.members.all = lambda: scans.append(1) or every()
     # The rank that the group waits for reports last.
-    context.last_rank = int(group._behind[1:])
+    context.last_rank = int(group._unprepared_agent[1:])
     for number in range(ranks):
         if number != context.last_rank:
             beat = engine_beat(context, number, done=True)
-            group.on_beat(f"a{number}", beat, now)
+            group.on_heartbeat(f"a{number}", beat, now)
     context.scans = len(scans)
 
 
@@ -458,7 +458,7 @@
 def step_proceeds(context):
     group, now = context.group, context.dep.now
     beat = engine_beat(context, context.last_rank, done=True)
-    group.on_beat(f"a{context.last_rank}", beat, now)
+    group.on_heartbeat(f"a{context.last_rank}", beat, now)
     assert group.phase is group_lib.Phase.HOLDING, group.phase
 
 
@@ -512,7 +512,7 @@
 
 
 def version_news(number):
-    return config_messages.VersionNews(version=number)
+    return config_messages.VersionNotice(version=number)
 
 
 @then("all arrive in order")
--- a/features/steps/late_request_steps.py
+++ b/features/steps/late_request_steps.py
@@ -10,9 +10,9 @@
 from features.harness import group_simulation
 from features.harness import hop
 from jasperweir import core
-from jasperweir.components.balance import gate
-from jasperweir.components.balance import late
+from jasperweir.components.balance import late_admission
 from jasperweir.components.balance import passes
+from jasperweir.components.balance import wait_queue
 
 SECONDS = 3.0
 NOW = 100.0
@@ -80,7 +80,7 @@
 
 @given("12 targets with 6 slots each, {group}")
 def step_group(context, group):
-    context.most_open = late.most_open(
+    context.most_open = late_admission.max_open_requests(
         slots=72, targets=12, limit=group_limit(group), now=NOW
     )
 
@@ -97,9 +97,9 @@
         "in time": NOW + 0.1,
         "late and resumed": float("inf"),
     }
-    context.gate = gate.Gate()
-    context.gate.wait(
-        gate.Waiting(
+    context.gate = wait_queue.WaitQueue()
+    context.gate.enqueue(
+        wait_queue.QueuedRequest(
             priority=1,
             since=NOW - 1.0,
             number=7,
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -10,7 +10,7 @@
 from features.harness import limits
 from features.harness import scripted_targets
 from features.harness import site
-from jasperweir.components.backpressure import asked
+from jasperweir.components.backpressure import backpressure
 from jasperweir.components.backpressure import limit_shares
 from jasperweir.components.backpressure import signals
 
@@ -127,7 +127,7 @@
 
 @given("a target that has stated a limit of {limit:g} requests a second")
 def step_stated(context, limit):
-    context.backpressure = asked.Backpressure(name="e1")
+    context.backpressure = backpressure.Backpressure(name="e1")
     context.target = site.target(target_id="t", address="10.1.0.1:80")
     stated = signals.Signals(limit_per_s=limit)
     context.backpressure.on_answer(context.target, stated, 100.0, 99.9)
@@ -142,7 +142,7 @@
 @then("{count:d} requests may be sent at once")
 def step_at_once(context, count):
     sent = 0
-    while sent < count + 5 and context.backpressure.open_to(
+    while sent < count + 5 and context.backpressure.list_available(
         [context.target], 100.2
     ):
         context.backpressure.on_chosen(context.target, 100.2)
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -11,9 +11,9 @@
 from features.steps import forward_steps
 from jasperweir.components.balance import balancer
 from jasperweir.components.balance import forecast
-from jasperweir.components.balance import gate
 from jasperweir.components.balance import messages
 from jasperweir.components.balance import passes
+from jasperweir.components.balance import wait_queue
 from jasperweir.components.deployment import index
 from jasperweir.components.deployment import model
 
@@ -152,13 +152,13 @@
 )
 def step_arrived(context, one, two, three, target):
     context.ages = (one, two, three)
-    context.gate = gate.Gate()
+    context.gate = wait_queue.WaitQueue()
     for number, age in enumerate(context.ages):
         arrived = 10.0 - age
-        waiting = gate.Waiting(
+        waiting = wait_queue.QueuedRequest(
             1, arrived, number, 99.0, arrived, arrived + target
         )
-        context.gate.wait(waiting)
+        context.gate.enqueue(waiting)
 
 
 @when("one slot after the other becomes free")
--- a/features/steps/mapswitch_plan_steps.py
+++ b/features/steps/mapswitch_plan_steps.py
@@ -129,7 +129,7 @@
             address=name,
             term=1,
             state=state._replace(size=size),
-            choices=expert_counts.NO_CHOICES,
+            choices=expert_counts.NO_COUNTS,
             experts=rank.held_map,
         )
         if with_heartbeats:
--- a/features/steps/parts_steps.py
+++ b/features/steps/parts_steps.py
@@ -11,7 +11,7 @@
 from jasperweir import exceptions
 from jasperweir import result_codes
 from jasperweir.components.agent import response_buffer
-from jasperweir.components.bundle import model
+from jasperweir.components.bundle import flat_content
 from jasperweir.components.burn import report
 from jasperweir.components.burn import windows
 from jasperweir.components.control import client as control_client
@@ -46,19 +46,19 @@
 
 
 def check_newest_orders():
-    content = model.read(ROOT / "examples" / "souss.ini")
+    content = flat_content.read(ROOT / "examples" / "souss.ini")
     plan = orders.Planner(service="weir-assist", role="both")
     has = orders.EngineState(frozenset({"old"}), "decode", 0)
-    due = plan.plan(model.typed(content), 7, has, 0.0)
+    due = plan.plan(flat_content.typed(content), 7, has, 0.0)
     assert [(o.op, o.name, o.fence) for o in due] == [
         ("load_adapter", "ar", 7),
         ("load_adapter", "fr", 7),
         ("unload_adapter", "old", 7),
         ("set_role", "both", 7),
     ]
-    assert plan.plan(model.typed(content), 7, has, 0.1) == []
+    assert plan.plan(flat_content.typed(content), 7, has, 0.1) == []
     content["service weir-assist\x1fadapters"] = "fr"
-    due = plan.plan(model.typed(content), 9, has, 5.0)
+    due = plan.plan(flat_content.typed(content), 9, has, 5.0)
     assert ("load_adapter", "ar", 9) not in due
 
 
@@ -91,7 +91,7 @@
 
 def check_frame_rejection():
     good = codec.encode(
-        control_messages.FloorAsk(nonce=1),
+        control_messages.MinRevisionRequest(nonce=1),
         src="a", src_inc=1, src_addr="x", dst="b",
     )  # fmt: skip
     env, msg = codec.decode(good)
@@ -195,15 +195,21 @@
 
 
 def check_heartbeat_interval():
-    client = control_client.Client(voters=("c1", "c2"), rng=random.Random(1))
+    client = control_client.ControlClient(
+        voters=("c1", "c2"), rng=random.Random(1)
+    )
     fields = {"inc": 1, "place": "p", "revision": 1, "ready_epoch": 1,
               "burn": 0.0}  # fmt: skip
 
     def beat(now):
-        return [(a.dst, a.msg) for a in client.beat(**fields, now=now)]
+        return [
+            (a.dst, a.msg) for a in client.send_heartbeat(**fields, now=now)
+        ]
 
     def ack(beat_id, every):
-        return control_messages.BeatAck(beat_id, True, every, 4, "c2", "x", 1)
+        return control_messages.HeartbeatAck(
+            beat_id, True, every, 4, "c2", "x", 1
+        )
 
     (_, first), *_ = beat(1.2)
     assert client.on_ack(ack(first.beat_id, 5.0), 1.3) == (4, 1.2)
@@ -219,7 +225,9 @@
 
 
 def load_bundle():
-    return model.typed(model.read(ROOT / "examples" / "souss.ini"))
+    return flat_content.typed(
+        flat_content.read(ROOT / "examples" / "souss.ini")
+    )
 
 
 def parse(path="/v1/chat/completions", method="POST", body=None, **headers):
--- a/features/steps/process_steps.py
+++ b/features/steps/process_steps.py
@@ -331,9 +331,9 @@
 
 
 def digest_of(content):
-    from jasperweir.components.bundle import model
+    from jasperweir.components.bundle import flat_content
 
-    return model.content_hash(content)
+    return flat_content.content_hash(content)
 
 
 @then("it serves under the newest version")
@@ -636,7 +636,7 @@
         stranger.learn("entry-1", spec.internal)
         from jasperweir.components.control import messages
 
-        stranger.send("entry-1", messages.FloorAsk(nonce=1))
+        stranger.send("entry-1", messages.MinRevisionRequest(nonce=1))
         time.sleep(0.5)
         stranger.stop()
     _, found = local.get(local.specs["control-1"].http, "/targets")
--- a/features/steps/quarantine_forward_steps.py
+++ b/features/steps/quarantine_forward_steps.py
@@ -54,7 +54,7 @@
         known = quarantine.request(body=b"a" * context.size, path=b"/p")
         record_crashes(hop_.forwarder, known)
         with mock.patch.object(
-            fingerprint, "of", side_effect=fingerprint.of
+            fingerprint, "compute", side_effect=fingerprint.compute
         ) as hashed:
             for number in range(context.count):
                 size = context.size + number % 2
@@ -122,7 +122,7 @@
         hop_.fill("other")
         # A retry after a refusal, which waits for a slot.
         with mock.patch.object(
-            hop_.forwarder._patience, "used", return_value=1.0
+            hop_.forwarder._patience, "estimate_waited_s", return_value=1.0
         ):
             hop_.forwarder.handle(hop_.answering)
         assert not hop_.answering.done
@@ -157,7 +157,7 @@
         await target_.start()
         hop_.announce("ending", target_)
         if does == "drains and crashes":
-            target_.on_request = lambda: hop_.directory.leave(
+            target_.on_request = lambda: hop_.directory.mark_gone(
                 "ending", hop_.forwarder.now()
             )
         await answer(hop_, hop_.answering)
--- a/features/steps/quarantine_ledger_steps.py
+++ b/features/steps/quarantine_ledger_steps.py
@@ -144,7 +144,7 @@
     scene = context.scene
     scene.run(0.2)
     ledger = scene.entries["e2"].ledger
-    marks = ledger.absolve(quarantine.content(REQUEST), scene.now)
+    marks = ledger.clear_marks(quarantine.content(REQUEST), scene.now)
     scene.send_marks("e2", marks)
 
 
--- a/features/steps/quarantine_marks_steps.py
+++ b/features/steps/quarantine_marks_steps.py
@@ -23,7 +23,9 @@
 
 @when("one of the targets answers a request sent {ago:g} s ago")
 def step_alive(context, ago):
-    context.ledger.lives(quarantine.target(0), context.now - ago, context.now)
+    context.ledger.record_alive(
+        quarantine.target(0), context.now - ago, context.now
+    )
 
 
 @when("a further target crashes under it")
@@ -40,7 +42,7 @@
         context.ledger.add(
             context.fingerprint, quarantine.target(200 + number), context.now
         )
-        context.ledger.absolve(context.fingerprint, context.now)
+        context.ledger.clear_marks(context.fingerprint, context.now)
 
 
 @when("{count:d} further targets crash under it")
--- a/features/steps/recovery_steps.py
+++ b/features/steps/recovery_steps.py
@@ -100,7 +100,7 @@
             for _, listener in attempts:
                 listener.start()
         for sender in links:
-            sender.send("late", config_messages.Pull(held=0))
+            sender.send("late", config_messages.ContentRequest(held=0))
         time.sleep(SEND_SECONDS)
         if listening_at is not None:
             for _, listener in attempts:
@@ -130,7 +130,7 @@
             listener.start()
     for number, listener in enumerate(listeners):
         sender.learn(f"n{number}", f"127.0.0.1:{listener.port}")
-        sender.send(f"n{number}", config_messages.Pull(held=0))
+        sender.send(f"n{number}", config_messages.ContentRequest(held=0))
     await asyncio.sleep(listen_after_s)
     if listen_after_s:
         for listener in listeners:
--- a/features/steps/registry_steps.py
+++ b/features/steps/registry_steps.py
@@ -8,13 +8,13 @@
 
 from jasperweir import exceptions
 from jasperweir import result_codes
-from jasperweir.components.bundle import model
+from jasperweir.components.bundle import flat_content
 from jasperweir.components.config import replica as replica_lib
 from jasperweir.components.control import const as control_const
 from jasperweir.components.control import messages as control_messages
 from jasperweir.components.control import rollout as rollout_lib
-from jasperweir.components.registry import machine as machine_lib
 from jasperweir.components.registry import ops
+from jasperweir.components.registry import state_machine as machine_lib
 from jasperweir.daemons import config
 from jasperweir.helpers import codec
 from jasperweir.helpers import settings
@@ -28,7 +28,7 @@
     """Applies operations of operators to a state machine."""
 
     def __init__(self):
-        self.machine = machine_lib.Machine()
+        self.machine = machine_lib.StateMachine()
         self.machine.table.log_id = "log"
         self.log_index = 0
         self.op_count = 0
@@ -43,11 +43,11 @@
 
     def sign_off(self, content, op_id="", parent=None, digest=""):
         head = self.machine.head if parent is None else parent
-        change = model.diff(self.machine.content(head), content)
+        change = flat_content.diff(self.machine.content(head), content)
         op = ops.SignOff(
             head,
             tuple(sorted(change.items())),
-            digest or model.content_hash(content),
+            digest or flat_content.content_hash(content),
             "",
         )
         return self.apply(op, op_id)
@@ -68,7 +68,7 @@
 @given("a registry with the example bundle applied")
 def step_registry(context):
     context.registry = RegistryClient()
-    context.content = model.read(ROOT / "examples" / "souss.ini")
+    context.content = flat_content.read(ROOT / "examples" / "souss.ini")
     assert context.registry.sign_off(context.content).code == Code.ACCEPTED
     assert context.registry.roll(1).code == Code.ACCEPTED
 
@@ -97,14 +97,14 @@
     context.first = registry.sign_off(content, op_id="same")
     for i in range(20, 30):
         registry.sign_off(registry.content_with(address_ttl_s=str(i)))
-    again = machine_lib.Machine()
+    again = machine_lib.StateMachine()
     again.load(registry.machine.dump())
     registry.machine = again
     context.head = registry.machine.head
     op = ops.SignOff(
         1,
-        tuple(sorted(model.diff(context.content, content).items())),
-        model.content_hash(content),
+        tuple(sorted(flat_content.diff(context.content, content).items())),
+        flat_content.content_hash(content),
         "",
     )
     context.again = registry.apply(op, "same")
@@ -182,7 +182,7 @@
 def make_replica(machine):
     node = replica_lib.Replica(place=PLACES[0])
     node.table.apply(machine.table.delta(0))
-    node.floor = node.table.revision
+    node.min_revision = node.table.revision
     assert node.refresh()
     return node
 
@@ -234,7 +234,7 @@
     )
     context.node.table.apply(delta._replace(items=items))
     assert not context.node.refresh()
-    assert context.node.version == 2 and context.node.rejected == 1
+    assert context.node.version == 2 and context.node.rejected_count == 1
 
 
 @then("a lower version pointer does not change the version")
@@ -250,18 +250,18 @@
 @then("the node serves only after it reaches its minimum revision")
 def step_min_revision(context):
     node = context.node
-    node.floor = None
-    assert not node.ready
-    node.floor = node.table.revision + 1
-    assert not node.ready
-    node.floor = node.table.revision
-    assert node.ready
+    node.min_revision = None
+    assert not node.is_ready
+    node.min_revision = node.table.revision + 1
+    assert not node.is_ready
+    node.min_revision = node.table.revision
+    assert node.is_ready
 
 
 def make_reports(revisions, burn=0.0, now=0.0):
     return {
         name: rollout_lib.HeartbeatReport(
-            control_messages.Beat(1, 1, "p", revision, 1, burn), now
+            control_messages.Heartbeat(1, 1, "p", revision, 1, burn), now
         )
         for name, revision in revisions.items()
     }
@@ -347,5 +347,5 @@
 
 @then('the example "{name}" is a valid bundle with {count:d} places')
 def step_example(context, name, count):
-    content = model.read(ROOT / "examples" / f"{name}.ini")
-    assert len(model.typed(content).places) == count
+    content = flat_content.read(ROOT / "examples" / f"{name}.ini")
+    assert len(flat_content.typed(content).places) == count
--- a/features/steps/starting_steps.py
+++ b/features/steps/starting_steps.py
@@ -133,7 +133,7 @@
 def step_held(context, held):
     at_once, _, _ = context.outcome
     assert at_once == context.count - held, at_once
-    assert held == const.START_KEPT_MOST
+    assert held == const.START_BUFFERED_MAX
 
 
 class FormingTarget(hop.Target):
@@ -229,6 +229,6 @@
 
 @then("the outage {outage}")
 def step_outage(context, outage):
-    assert context.outage.lasts(context.now)
+    assert context.outage.is_active(context.now)
     over = context.outage.seems_over(context.now)
     assert over == (outage == "seems over"), over
--- a/jasperweir/cli/daemons.py
+++ b/jasperweir/cli/daemons.py
@@ -7,7 +7,7 @@
 
 from jasperweir import core
 from jasperweir import exceptions
-from jasperweir.components.bundle import model
+from jasperweir.components.bundle import flat_content
 from jasperweir.daemons import agent as agent_daemon
 from jasperweir.daemons import base
 from jasperweir.daemons import config
@@ -70,7 +70,7 @@
         problems += _check_settings(path)
     for path in args.bundle:
         try:
-            model.read(path)
+            flat_content.read(path)
         except exceptions.SettingsError as exc:
             problems += exc.problems
     for problem in problems:
--- a/jasperweir/cli/operate.py
+++ b/jasperweir/cli/operate.py
@@ -12,7 +12,7 @@
 import urllib3
 
 from jasperweir import result_codes
-from jasperweir.components.bundle import model
+from jasperweir.components.bundle import flat_content
 from jasperweir.helpers import clocks
 
 Code = result_codes.Code
@@ -182,7 +182,7 @@
 
 
 def _sign_off(args: argparse.Namespace) -> int:
-    new = model.read(args.file)
+    new = flat_content.read(args.file)
     door = _make_client(args)
     parent = args.parent
     if parent is None:
@@ -194,8 +194,8 @@
         {
             "op_id": op,
             "parent": parent,
-            "change": model.diff(old, new),
-            "content_hash": model.content_hash(new),
+            "change": flat_content.diff(old, new),
+            "content_hash": flat_content.content_hash(new),
             "note": args.note,
         },
     )
@@ -251,18 +251,18 @@
 
 
 def _diff(args: argparse.Namespace) -> int:
-    new = model.read(args.file)
+    new = flat_content.read(args.file)
     door = _make_client(args)
     version = args.version
     if version is None:
         version = door.get("/bundle/0")["head"]
     old = door.get(f"/bundle/{version}").get("content") or {}
-    change = model.diff(old, new)
+    change = flat_content.diff(old, new)
     if args.json:
         print(json.dumps(change, sort_keys=True))
         return 0
     for flat, value in sorted(change.items()):
-        section, _, key = flat.partition(model.SEPARATOR)
+        section, _, key = flat.partition(flat_content.SEPARATOR)
         before = old.get(flat)
         print(f"[{section}] {key}: {before!r} -> {value!r}")
     if not change:
--- a/jasperweir/components/agent/engine.py
+++ b/jasperweir/components/agent/engine.py
@@ -91,7 +91,7 @@
 
         def loaded() -> None:
             self._loading.discard(new.version)
-            guard = self._group.guard
+            guard = self._group.step_gate
             self._perform_all(
                 guard.on_weights_loaded(new.version, ok, coordinator)
             )
@@ -126,7 +126,7 @@
             shape = self._get("/group")
             self._call(
                 lambda: self._group.set_shape(
-                    group_lib.Shape(
+                    group_lib.GroupShape(
                         layers=shape["layers"],
                         ranks=shape["ranks"],
                         per_rank=shape["per_rank"],
@@ -143,9 +143,9 @@
 
     def _observe(self, report: dict[str, Any]) -> None:
         done = int(report["done"])
-        if done < self._group.guard.done:
-            self._group.guard.on_engine_restart()
-        self._perform_all(self._group.guard.on_step_done(done))
+        if done < self._group.step_gate.done:
+            self._group.step_gate.on_engine_restart()
+        self._perform_all(self._group.step_gate.on_step_done(done))
         if self._group.coordinator is None:
             return
         self._group.observe(
--- a/jasperweir/components/agent/node.py
+++ b/jasperweir/components/agent/node.py
@@ -39,18 +39,18 @@
         self.announcer = announcer_lib.Announcer(
             member=member, table=self.replica.table, seeds=entries or seeds
         )
-        self.control = control_client.Client(voters=voters, rng=rng)
+        self.control = control_client.ControlClient(voters=voters, rng=rng)
         self.group = group
 
     @property
     def is_ready(self) -> bool:
         """Whether the agent may accept new requests."""
-        return self.replica.ready
+        return self.replica.is_ready
 
     def tick(self, now: float) -> Actions:
         """Return the messages and actions that are due."""
         out = self.announcer.tick(now)
-        out += self.control.ask_floor(now)
+        out += self.control.request_min_revision(now)
         self.replica.refresh()
         return out + self._tick_group(now)
 
@@ -71,9 +71,9 @@
     def receive(self, src: str, msg: Any, now: float) -> Actions:
         """Handle a message from another process."""
         match msg:
-            case control_messages.FloorReply():
-                self.control.on_floor(msg, now)
-                self.replica.floor = self.control.floor
+            case control_messages.MinRevisionReply():
+                self.control.on_min_revision(msg, now)
+                self.replica.min_revision = self.control.min_revision
                 return []
             case table_lib.Delta():
                 self.replica.table.apply(msg)
--- a/jasperweir/components/backpressure/asked.py
+++ b/jasperweir/components/backpressure/backpressure.py
@@ -45,9 +45,9 @@
             name: Name of this entry.
         """
         self.shares = limit_shares.LimitShares(name=name)
-        self._states: collections.OrderedDict[str, state_lib.Asked] = (
-            collections.OrderedDict()
-        )
+        self._states: collections.OrderedDict[
+            str, state_lib.BackpressureState
+        ] = collections.OrderedDict()
 
     def __len__(self) -> int:
         return len(self._states)
@@ -81,7 +81,9 @@
         if signals.draining and not state.draining:
             state.draining = True
             changes.append(Change.LEAVES)
-        if signals.rest_s is not None and state.back_off(signals.rest_s, now):
+        if signals.backoff_s is not None and state.back_off(
+            signals.backoff_s, now
+        ):
             changes.append(Change.BACKS_OFF)
         if signals.limit_per_s is not None:
             if state.set_limit(signals.limit_per_s, now):
@@ -105,18 +107,18 @@
     def on_taken(self, target: records.Target, now: float) -> bool:
         """Record an accepted request; return whether a back-off is over."""
         state = self._get(target.target_id, target.born)
-        if state is None or state.bars(now) or not state.has_refused:
+        if state is None or state.is_blocked(now) or not state.has_refused:
             return False
         backed_off = state.has_backed_off
-        state.forgive()
+        state.reset()
         return backed_off
 
-    def forgive(self, targets: list[records.Target]) -> None:
+    def clear_refusals(self, targets: list[records.Target]) -> None:
         """Clear the refusals of targets after an outage."""
         for target in targets:
             state = self._states.get(target.target_id)
             if state is not None:
-                state.forgive_refusals()
+                state.clear_refusals()
 
     # Other entries.
 
@@ -128,7 +130,7 @@
             if (until := state.refuses_until) > now
         )
 
-    def on_told(
+    def on_peer_refusals(
         self, refusing: tuple[messages.Refusing, ...], now: float
     ) -> None:
         """Record the targets that refuse the requests of another entry.
@@ -146,12 +148,12 @@
 
     # Queries.
 
-    def bars(self, target: records.Target, now: float) -> bool:
+    def is_blocked(self, target: records.Target, now: float) -> bool:
         """Return whether a target accepts no requests now."""
         state = self._get(target.target_id, target.born)
-        return state is not None and state.bars(now)
+        return state is not None and state.is_blocked(now)
 
-    def open_to(
+    def list_available(
         self, targets: list[records.Target], now: float
     ) -> list[records.Target]:
         """Return the targets that may get a request now.
@@ -161,17 +163,17 @@
         """
         if not self._states:
             return targets
-        available = self.unbarred(targets, now)
+        available = self.list_unblocked(targets, now)
         preferred = [t for t in available if not self._is_avoided(t, now)]
         return preferred or available
 
-    def unbarred(
+    def list_unblocked(
         self, targets: list[records.Target], now: float
     ) -> list[records.Target]:
         """Return the targets without back-off, draining or a used-up limit."""
         return [t for t in targets if self._wait_s(t, now) <= 0]
 
-    def opens_in_s(
+    def available_in_s(
         self, targets: list[records.Target], now: float, ahead: int = 0
     ) -> float:
         """Return the time until the first of the targets is available, seconds.
@@ -204,14 +206,14 @@
             "limited": sum(state.limiter is not None for state in states),
         }
 
-    def rest_left_s(self, target: records.Target, now: float) -> float:
+    def backoff_left_s(self, target: records.Target, now: float) -> float:
         """Return the remaining back-off of a target, seconds."""
         state = self._get(target.target_id, target.born)
         return max(state.backoff_until - now, 0.0) if state is not None else 0.0
 
     # Upkeep.
 
-    def tidy(
+    def prune(
         self, known: Callable[[str], records.Target | None], now: float
     ) -> None:
         """Drop refusals that are long over, and the state of gone targets.
@@ -256,20 +258,22 @@
         state = self._get(target.target_id, target.born)
         return state is not None and state.is_avoided(now)
 
-    def _add(self, target_id: str, born: int) -> state_lib.Asked:
-        state = state_lib.Asked(born=born)
+    def _add(self, target_id: str, born: int) -> state_lib.BackpressureState:
+        state = state_lib.BackpressureState(born=born)
         self._states[target_id] = state
         if len(self._states) > const.TARGETS_MAX:
             self._states.popitem(last=False)
         return state
 
-    def _get(self, target_id: str, born: int) -> state_lib.Asked | None:
+    def _get(
+        self, target_id: str, born: int
+    ) -> state_lib.BackpressureState | None:
         """Return the state of an incarnation; drop that of an earlier one."""
         state = self._states.get(target_id)
         if state is None:
             return None
-        order = incarnation.compare(born, state.born)
-        if order is incarnation.Start.LATER:
+        order = incarnation.compare_starts(born, state.born)
+        if order is incarnation.StartOrder.LATER:
             del self._states[target_id]
             return None
         return state
--- a/jasperweir/components/backpressure/signals.py
+++ b/jasperweir/components/backpressure/signals.py
@@ -12,15 +12,15 @@
     """Backpressure signals of one answer.
 
     Attributes:
-        rest_s: Back-off: time for which the target accepts no request of this
-            entry, seconds; None if not stated.
+        backoff_s: Back-off: time for which the target accepts no request of
+            this entry, seconds; None if not stated.
         limit_per_s: Requests per second that the target accepts of all entries
             together; None if not stated.
         draining: Whether it is draining and accepts no new requests.
         unreadable: Values that could not be read, shortened for the log.
     """
 
-    rest_s: float | None = None
+    backoff_s: float | None = None
     limit_per_s: float | None = None
     draining: bool = False
     unreadable: tuple[str, ...] = ()
@@ -28,7 +28,7 @@
     @property
     def is_empty(self) -> bool:
         """Whether the answer carries no signal."""
-        has_numbers = self.rest_s is not None or self.limit_per_s is not None
+        has_numbers = self.backoff_s is not None or self.limit_per_s is not None
         return not (has_numbers or self.draining or self.unreadable)
 
 
@@ -53,7 +53,7 @@
     backoffs = _parse_numbers(rest, unreadable)
     limits = _parse_numbers(limit, unreadable)
     return Signals(
-        rest_s=min(max(backoffs), const.BACKOFF_MAX_SECONDS)
+        backoff_s=min(max(backoffs), const.BACKOFF_MAX_SECONDS)
         if backoffs
         else None,
         limit_per_s=min(limits) if limits else None,
--- a/jasperweir/components/backpressure/state.py
+++ b/jasperweir/components/backpressure/state.py
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Asked:
+class BackpressureState:
     """Signals and refusals of one incarnation of a target.
 
     Attributes:
@@ -79,7 +79,7 @@
 
     # Queries.
 
-    def bars(self, now: float) -> bool:
+    def is_blocked(self, now: float) -> bool:
         """Return whether it accepts no requests now."""
         return self.draining or now < self.backoff_until
 
@@ -154,7 +154,7 @@
     def refuse(self, now: float) -> None:
         """Record a refusal without a back-off."""
         self.trial_at = _NEVER
-        if self.bars(now) or now < self.avoided_until:
+        if self.is_blocked(now) or now < self.avoided_until:
             return
         pause_s = const.AVOID_SECONDS * 2**self.refusals
         if pause_s < const.AVOID_MAX_SECONDS:
@@ -168,12 +168,12 @@
         if self.limiter is not None:
             self.limiter.on_sent(now)
 
-    def forgive(self) -> None:
+    def reset(self) -> None:
         """Clear its back-off and its refusals."""
         self.backoff_until = _NEVER
-        self.forgive_refusals()
+        self.clear_refusals()
 
-    def forgive_refusals(self) -> None:
+    def clear_refusals(self) -> None:
         """Clear its refusals, but not its back-off."""
         self.refusals = 0
         self.avoided_until = _NEVER
--- a/jasperweir/components/balance/balancer.py
+++ b/jasperweir/components/balance/balancer.py
@@ -269,7 +269,7 @@
         free = sum(
             max(0, target.slots - count)
             for target, count in zip(targets, counts, strict=True)
-            if self.pace_of(target, now) < const.SLOWDOWN_MAX
+            if self.get_slowdown(target, now) < const.SLOWDOWN_MAX
         )
         return TotalLoad(open=sum(counts), free=free)
 
@@ -308,12 +308,12 @@
         unknown = max(0, reported - self._count_tracked(target_id, now))
         self._reports[target_id] = UntrackedLoad(unknown=unknown, at=now)
 
-    def on_paces(self, paces: dict[str, float], now: float) -> None:
+    def update_slowdowns(self, paces: dict[str, float], now: float) -> None:
         """Replace the slowdown factors of targets, by address."""
         self._slowdowns = paces
         self._slowdowns_at = now
 
-    def pace_of(self, target: records.Target, now: float) -> float:
+    def get_slowdown(self, target: records.Target, now: float) -> float:
         """Return the factor by which a target is slower than usual."""
         if now - self._slowdowns_at > const.SLOWDOWN_TTL_SECONDS:
             return 1.0
@@ -328,7 +328,9 @@
         self, target: records.Target, count: int, median_s: float, now: float
     ) -> float:
         # The load of a slow target counts for more by its slowdown factor.
-        cost = (count + 1) * self.pace_of(target, now) / max(target.slots, 1)
+        cost = (
+            (count + 1) * self.get_slowdown(target, now) / max(target.slots, 1)
+        )
         health = self._health.get(target.target_id)
         if health is not None and median_s > 0:
             if health.first_byte_s > const.SLOW_FACTOR * median_s:
--- a/jasperweir/components/balance/const.py
+++ b/jasperweir/components/balance/const.py
@@ -26,7 +26,7 @@
 SLOWDOWN_MAX = 2.0
 # Streams are moved away from a target with this slowdown or more: its whole
 # group waits in each pass for the slowest rank.
-MOVE_PACE = 3.0
+MOVE_SLOWDOWN = 3.0
 
 # A target is ejected after this many failures in a row, at first for
 # EJECT_SECONDS, then for twice as long each time.
@@ -82,12 +82,12 @@
 # first event.
 WAIT_SHARE = 2.0
 # The same as a share of the time that its caller has left.
-WAIT_MOST_SHARE = 0.25
+WAIT_MAX_SHARE = 0.25
 # Factor from the forecast, which is a mean, to the time that a request waits.
 FORECAST_FACTOR = 2.0
 # Shortest time that a first attempt waits, seconds: a group that switches to a
 # new expert map accepts streams again within it.
-WAIT_LEAST_SECONDS = 0.6
+WAIT_MIN_SECONDS = 0.6
 # Weight of a new request in the smoothed times of its service.
 FORECAST_SMOOTHING = 0.1
 # Time that a caller that resumes a stream waits for a free slot, for targets or
@@ -97,9 +97,9 @@
 # Longest time that a caller that retries after a refusal waits, as a multiple
 # of its route's target time. It has no further attempt, and gives up after four
 # times the target time without a first event.
-RETURNED_WAIT_SHARE = 3.5
+RETRY_WAIT_SHARE = 3.5
 # The same as a share of the time that it has left.
-RETURNED_WAIT_MOST_SHARE = 1 / 3
+RETRY_WAIT_MAX_SHARE = 1 / 3
 # A caller that has used up at least this much of its route's usual time is
 # taken for one that retries, seconds: the shortest Retry-After delay less the
 # spread of network delays.
@@ -120,7 +120,7 @@
 # each further one would use up the retry budget.
 START_REFUSALS = 1
 # Most requests that an entry holds without a configuration.
-START_KEPT_MOST = 512
+START_BUFFERED_MAX = 512
 # Delay until a waiting request that targets refused is sent again, seconds.
 PAUSE_SECONDS = 0.15
 
--- a/jasperweir/components/balance/neighbours.py
+++ b/jasperweir/components/balance/entry_cell.py
@@ -39,7 +39,7 @@
     surplus: dict[str, float]
 
 
-class Neighbours:
+class EntryCell:
     """The cell of one entry.
 
     Attributes:
@@ -79,7 +79,7 @@
             and self._find_cell(node.name) == self._own_cell
         )
 
-    def home(self, targets: Targets, draw: float) -> Targets:
+    def preferred_targets(self, targets: Targets, draw: float) -> Targets:
         """Return the preferred targets of a request.
 
         Args:
--- a/jasperweir/components/balance/forecast.py
+++ b/jasperweir/components/balance/forecast.py
@@ -39,7 +39,7 @@
         return (ahead + 1) * self.whole_s / max(running, 1)
 
 
-class Part(NamedTuple):
+class SlotAllocation(NamedTuple):
     """Free slots that one entry may fill.
 
     Attributes:
@@ -58,13 +58,13 @@
         return self.timely + self.late
 
 
-def part(
+def allocate_slots(
     free_slots: float,
     own: messages.Queue,
     others: messages.Queue,
     rng: random.Random,
-    late_places: float = math.inf,
-) -> Part:
+    late_slots: float = math.inf,
+) -> SlotAllocation:
     """Return how many of the free slots this entry may fill.
 
     All entries see the same free slots. Each takes a share in proportion to its
@@ -75,14 +75,14 @@
         own: Requests that wait at this entry.
         others: Requests that wait at the other entries.
         rng: Random source.
-        late_places: How many of the slots may go to late requests that leave
+        late_slots: How many of the slots may go to late requests that leave
             room for others.
     """
     free_slots = max(free_slots, 0.0)
     for_timely = min(free_slots, own.timely + others.timely)
     for_late = free_slots - for_timely
-    yielding = min(for_late, late_places)
-    return Part(
+    yielding = min(for_late, late_slots)
+    return SlotAllocation(
         timely=_draw_share(for_timely, own.timely, others.timely, rng),
         late=_draw_share(for_late, own.late, others.late, rng),
         yielding=_draw_share(yielding, own.late, others.late, rng),
--- a/jasperweir/components/balance/late.py
+++ b/jasperweir/components/balance/late_admission.py
@@ -11,7 +11,7 @@
 from jasperweir.components.balance import passes as passes_lib
 
 
-def most_open(
+def max_open_requests(
     *,
     slots: int,
     targets: int,
--- a/jasperweir/components/balance/outage.py
+++ b/jasperweir/components/balance/outage.py
@@ -48,20 +48,20 @@
             min_refusals: Refusals in a row that make an outage.
         """
         self._min_refusals = min_refusals
-        before = self.lasts(now)
+        before = self.is_active(now)
         if now - self._refused_at > const.OUTAGE_SILENT_SECONDS:
             self._refusals = 0
         self._refusals += 1
         self._refused_at = now
-        return not before and self.lasts(now)
+        return not before and self.is_active(now)
 
     def on_answer(self, now: float) -> bool:
         """Record an accepted request; return whether an outage ends."""
-        ended = self.lasts(now)
+        ended = self.is_active(now)
         self._refusals = 0
         return ended
 
-    def lasts(self, now: float) -> bool:
+    def is_active(self, now: float) -> bool:
         """Return whether all recent requests were refused."""
         if now - self._refused_at > const.OUTAGE_SILENT_SECONDS:
             return False
@@ -88,6 +88,6 @@
     def __init__(self) -> None:
         self._by_service: dict[str, Outage] = collections.defaultdict(Outage)
 
-    def of(self, service: str) -> Outage:
+    def get(self, service: str) -> Outage:
         """Return the outage state of a service."""
         return self._by_service[service]
--- a/jasperweir/components/balance/passes.py
+++ b/jasperweir/components/balance/passes.py
@@ -117,7 +117,7 @@
             else:
                 self._limits[name] = PassLimit(bounds=found)
 
-    def of(self, service: str) -> PassLimit | None:
+    def get(self, service: str) -> PassLimit | None:
         """Return the stream limit of a service, None if it has none."""
         return self._limits.get(service)
 
--- a/jasperweir/components/balance/advice.py
+++ b/jasperweir/components/balance/retry_advice.py
@@ -16,12 +16,12 @@
 # The longest is what a caller with 8 s left still follows.
 OUTAGE_SECONDS = (1.6, 2.6)
 # Range of delays after the end of a back-off, seconds.
-AFTER_REST_SECONDS = (0.05, 0.6)
+AFTER_BACKOFF_SECONDS = (0.05, 0.6)
 # Within this time a starting process has its configuration, seconds.
 STARTING_SECONDS = 0.8
 
 
-class ReturnAdvice:
+class RetryAdvice:
     """Computes Retry-After delays that spread retries over an overload.
 
     The delay grows with the number of recent refusals, so that the retries
@@ -50,14 +50,14 @@
         """Return the delay for a caller during an outage, seconds."""
         return self._rng.uniform(*OUTAGE_SECONDS)
 
-    def after_rest(self, rest_s: float) -> float:
+    def after_backoff(self, backoff_s: float) -> float:
         """Return the delay for a caller whose targets all back off, seconds.
 
         Args:
-            rest_s: Time until the first of the back-offs ends, seconds.
+            backoff_s: Time until the first of the back-offs ends, seconds.
         """
         # Random, because each target gets a single request at first.
-        return rest_s + self._rng.uniform(*AFTER_REST_SECONDS)
+        return backoff_s + self._rng.uniform(*AFTER_BACKOFF_SECONDS)
 
     def while_starting(self) -> float:
         """Return the delay until a starting process is ready, seconds."""
--- a/jasperweir/components/balance/patience.py
+++ b/jasperweir/components/balance/wait_estimate.py
@@ -8,13 +8,15 @@
 from jasperweir.components.deployment import model
 
 
-class UsualPatience:
+class WaitEstimator:
     """Longest time that callers of each route have stated, seconds."""
 
     def __init__(self) -> None:
         self._longest_by_route: dict[str, float] = {}
 
-    def used(self, route: model.Route, stated_s: float | None) -> float:
+    def estimate_waited_s(
+        self, route: model.Route, stated_s: float | None
+    ) -> float:
         """Return the estimated time that a caller has already waited.
 
         Args:
--- a/jasperweir/components/balance/gate.py
+++ b/jasperweir/components/balance/wait_queue.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 
-class Waiting(NamedTuple):
+class QueuedRequest(NamedTuple):
     """A waiting request, served in order of arrival within its priority.
 
     Attributes:
@@ -34,11 +34,11 @@
         return now > self.timely_until
 
 
-class Gate:
+class WaitQueue:
     """Requests of one service that wait for a free slot at this entry."""
 
     def __init__(self) -> None:
-        self._waiting: dict[int, Waiting] = {}
+        self._waiting: dict[int, QueuedRequest] = {}
 
     def __len__(self) -> int:
         """Return the number of waiting requests."""
@@ -48,15 +48,15 @@
         """Return the numbers of the waiting requests."""
         return list(self._waiting)
 
-    def timely(self, now: float) -> int:
+    def count_timely(self, now: float) -> int:
         """Return how many waiting requests can still meet their target time."""
         return sum(not w.is_late(now) for w in self._waiting.values())
 
-    def wait(self, waiting: Waiting) -> None:
+    def enqueue(self, waiting: QueuedRequest) -> None:
         """Queue a request."""
         self._waiting[waiting.number] = waiting
 
-    def withdraw(self, number: int) -> bool:
+    def remove(self, number: int) -> bool:
         """Remove a request; return whether it was waiting."""
         return self._waiting.pop(number, None) is not None
 
--- a/jasperweir/components/config/replica.py
+++ b/jasperweir/components/config/replica.py
@@ -29,8 +29,8 @@
         self.table = table_lib.Table()
         self.version = 0
         self.bundle: specs.Bundle | None = None
-        self.floor: int | None = None
-        self.rejected = 0
+        self.min_revision: int | None = None
+        self.rejected_count = 0
         self._place = place
         self._view_cache = view_cache.ViewCache(table=self.table)
         self._refreshed_revision = 0
@@ -39,9 +39,9 @@
         self._pending_keys: set[str] = set()
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether the minimum revision is reached and a bundle applied."""
-        if self.floor is None or self.table.revision < self.floor:
+        if self.min_revision is None or self.table.revision < self.min_revision:
             return False
         return self.bundle is not None
 
@@ -65,11 +65,11 @@
         try:
             new = self._load_contents(version)
         except exceptions.SettingsError:
-            self.rejected += 1
+            self.rejected_count += 1
             return False
         if new.content_hash != expected:
             # The data is corrupt, so the old version stays applied.
-            self.rejected += 1
+            self.rejected_count += 1
             return False
         self._contents = new
         self.bundle = new.bundle
--- a/jasperweir/components/configctl/control_calls.py
+++ b/jasperweir/components/configctl/control_calls.py
@@ -4,8 +4,8 @@
 from typing import Protocol
 
 from jasperweir import result_codes
-from jasperweir.components.deployment import check
 from jasperweir.components.deployment import model
+from jasperweir.components.deployment import validation
 from jasperweir.components.directory import records
 from jasperweir.components.registry import ops
 from jasperweir.helpers import http_message
@@ -94,7 +94,7 @@
     """Return the call, or Invalid if its configuration has problems."""
     if not isinstance(call, Replace):
         return call
-    problems = check.problems(call.deployment)
+    problems = validation.find_problems(call.deployment)
     if problems:
         return Invalid(Code.BAD_DEPLOYMENT, tuple(problems))
     return call
--- a/jasperweir/components/configctl/discovery_server.py
+++ b/jasperweir/components/configctl/discovery_server.py
@@ -104,7 +104,7 @@
         self._keeps_log = keeps_log
         self._seats = quorum_messages.Seats()
         # Newest heartbeat of each other control VM.
-        self._control_heartbeats: dict[str, records.ControlBeat] = {}
+        self._control_heartbeats: dict[str, records.ControlHeartbeat] = {}
         self._unacked_updates: dict[int, float] = {}
         self._digest_tracker = digest_tracker.DigestTracker()
         # Targets that announced themselves here since the last refresh.
@@ -132,7 +132,7 @@
     ) -> StartedRequest:
         """Remove a target; ends in Acknowledged or Unconfirmed."""
         digest = self.directory.digest
-        target = self.directory.leave(target_id, now, born)
+        target = self.directory.mark_gone(target_id, now, born)
         return self._broadcast_target(target, digest, now, wait=True)
 
     # Inputs.
@@ -154,22 +154,22 @@
     ) -> Actions:
         """Handle a message from a control VM, an entry or an agent."""
         match msg:
-            case records.ControlBeat():
+            case records.ControlHeartbeat():
                 return self._on_control_heartbeat(src, msg, log_status, now)
-            case records.NodeBeat():
+            case records.NodeHeartbeat():
                 return self._on_node_heartbeat(src, msg, log_status, now)
-            case records.Targets():
+            case records.TargetList():
                 return self._on_targets(msg, now)
-            case records.News():
+            case records.TargetUpdate():
                 return self._on_target_update(src, msg, now)
-            case records.NewsAck():
+            case records.TargetUpdateAck():
                 if self._unacked_updates.pop(msg.number, None) is not None:
                     return [Acknowledged(number=msg.number)]
         return []
 
     def restore(self, soft_state: bytes, now: float) -> None:
         """Restore the targets known before a restart."""
-        known = codec.unpack(soft_state, records.Targets)
+        known = codec.unpack(soft_state, records.TargetList)
         for target in known.targets:
             self.directory.merge(target, now)
 
@@ -282,9 +282,9 @@
 
     def _make_heartbeat(
         self, log_status: LogStatus, now: float
-    ) -> records.ControlBeat:
+    ) -> records.ControlHeartbeat:
         controls = self._advertised_controls(log_status, now)
-        return records.ControlBeat(
+        return records.ControlHeartbeat(
             place=self._place,
             version=log_status.version,
             certain=log_status.certain,
@@ -300,7 +300,7 @@
     def _on_control_heartbeat(
         self,
         src: str,
-        msg: records.ControlBeat,
+        msg: records.ControlHeartbeat,
         log_status: LogStatus,
         now: float,
     ) -> Actions:
@@ -321,7 +321,11 @@
         return out
 
     def _on_node_heartbeat(
-        self, src: str, msg: records.NodeBeat, log_status: LogStatus, now: float
+        self,
+        src: str,
+        msg: records.NodeHeartbeat,
+        log_status: LogStatus,
+        now: float,
     ) -> Actions:
         if not self.nodes.on_heartbeat(src, msg.node, now):
             return []
@@ -341,7 +345,7 @@
 
     def _make_target_list(
         self, now: float, only: set[str] | None = None
-    ) -> records.Targets:
+    ) -> records.TargetList:
         """Return all target records, or those with the IDs in ``only``."""
         rows = [
             (target, round(age, 1))
@@ -350,13 +354,13 @@
             )
             if only is None or target.target_id in only
         ]
-        return records.Targets(
+        return records.TargetList(
             digest=self.directory.digest if only is None else 0,
             targets=tuple(target for target, _ in rows),
             ages=tuple(age for _, age in rows),
         )
 
-    def _on_targets(self, msg: records.Targets, now: float) -> Actions:
+    def _on_targets(self, msg: records.TargetList, now: float) -> Actions:
         out: Actions = []
         for target, age in zip(msg.targets, msg.ages, strict=False):
             before = self.directory.digest
@@ -365,14 +369,14 @@
         return out
 
     def _on_target_update(
-        self, src: str, msg: records.News, now: float
+        self, src: str, msg: records.TargetUpdate, now: float
     ) -> Actions:
         out: Actions = []
         before = self.directory.digest
         if self.directory.merge(msg.target, now):
             out += self._notify_entries(msg.target.target_id, before, now)
         if msg.number:
-            ack = records.NewsAck(number=msg.number)
+            ack = records.TargetUpdateAck(number=msg.number)
             out.append(core.Send(dst=src, msg=ack))
         return out
 
@@ -391,7 +395,7 @@
             return []
         after = self.directory.digest
         self._digest_tracker.set_current(after, now)
-        update = records.News(target=target, before=before, after=after)
+        update = records.TargetUpdate(target=target, before=before, after=after)
         return [
             core.Send(dst=name, msg=update) for name in self.nodes.entry_names()
         ]
@@ -401,7 +405,9 @@
     ) -> StartedRequest:
         number = next(self._request_numbers)
         out = self._notify_entries(target.target_id, before, now)
-        update = records.News(target=target, number=number if wait else 0)
+        update = records.TargetUpdate(
+            target=target, number=number if wait else 0
+        )
         peers = self.peers()
         out += [core.Send(dst=name, msg=update) for name in peers]
         if wait and peers:
--- a/jasperweir/components/configctl/messages.py
+++ b/jasperweir/components/configctl/messages.py
@@ -62,14 +62,14 @@
 
 
 @codec.message("configctl.version")
-class VersionNews(NamedTuple):
+class VersionNotice(NamedTuple):
     """Notifies a node that a version has been committed."""
 
     version: int
 
 
 @codec.message("configctl.pull")
-class Pull(NamedTuple):
+class ContentRequest(NamedTuple):
     """Requests the newest configuration if it is newer than ``held``."""
 
     held: int
--- a/jasperweir/components/configctl/node.py
+++ b/jasperweir/components/configctl/node.py
@@ -15,8 +15,8 @@
 from jasperweir.components.quorum import const as quorum_const
 from jasperweir.components.quorum import messages as quorum_messages
 from jasperweir.components.quorum import voter as voter_lib
-from jasperweir.components.registry import machine as machine_lib
 from jasperweir.components.registry import ops
+from jasperweir.components.registry import state_machine as machine_lib
 from jasperweir.helpers import codec
 from jasperweir.helpers import hashing
 
@@ -94,7 +94,7 @@
     ) -> None:
         self.name = name
         self.voter = voter
-        self.machine = machine_lib.Machine()
+        self.machine = machine_lib.StateMachine()
         self._wanted_seats = wanted_seats
         voter.wanted_voters = wanted_seats
         # Without a disk it holds no seat and forwards requests to the leader.
@@ -162,7 +162,7 @@
                 return self._on_read_request(src, msg, now)
             case messages.ReplaceReply() | messages.ReadReply():
                 return self._on_reply(msg)
-            case messages.Pull():
+            case messages.ContentRequest():
                 return self._on_content_request(src, msg)
             case quorum_messages.Hello():
                 self._applicants[src] = seats_lib.Applicant(
@@ -427,7 +427,7 @@
         version = self.machine.declared().version
         if version <= before:
             return []
-        notice = messages.VersionNews(version=version)
+        notice = messages.VersionNotice(version=version)
         out: Actions = [NewVersion(version=version)]
         out += [
             core.Send(dst=name, msg=notice)
@@ -435,7 +435,9 @@
         ]
         return out
 
-    def _on_content_request(self, src: str, msg: messages.Pull) -> Actions:
+    def _on_content_request(
+        self, src: str, msg: messages.ContentRequest
+    ) -> Actions:
         declared = self.machine.declared()
         if declared.version <= msg.held:
             return []
--- a/jasperweir/components/configctl/node_tracker.py
+++ b/jasperweir/components/configctl/node_tracker.py
@@ -97,7 +97,7 @@
         rows = sorted(self._open_entries.values())
         self.digest = hashing.checksum(codec.pack(rows)) >> 1
         self._digest_tracker.set_current(self.digest, now)
-        update = records.NodeNews(
+        update = records.NodeListUpdate(
             before=old_digest, after=self.digest, nodes=tuple(changed)
         )
         return [core.Send(dst=name, msg=update) for name in self.entry_names()]
@@ -106,7 +106,7 @@
         """Send an entry the full list if its digest is outdated."""
         if not self._digest_tracker.needs_full_list(name, digest, now):
             return []
-        nodes = records.Nodes(
+        nodes = records.NodeList(
             digest=self.digest, nodes=tuple(self._open_entries.values())
         )
         return [core.Send(dst=name, msg=nodes)]
--- a/jasperweir/components/control/client.py
+++ b/jasperweir/components/control/client.py
@@ -13,7 +13,7 @@
 REPORT_JITTER_SECONDS = 0.1
 
 
-class Client:
+class ControlClient:
     """Sans-I/O client that sends heartbeats to the control VMs.
 
     Attributes:
@@ -32,7 +32,7 @@
     ) -> None:
         self.leader = ""
         self.leader_addr = ""
-        self.floor: int | None = None
+        self.min_revision: int | None = None
         self.heard_at = float("-inf")
         self._voters = voters
         self._rng = rng
@@ -45,15 +45,18 @@
         self._next_min_revision_request_at = 0.0
         self._voter_index = rng.randrange(max(len(voters), 1))
 
-    def ask_floor(self, now: float) -> Actions:
+    def request_min_revision(self, now: float) -> Actions:
         """Request the minimum revision until a leader has confirmed it."""
-        if self.floor is not None or now < self._next_min_revision_request_at:
+        if (
+            self.min_revision is not None
+            or now < self._next_min_revision_request_at
+        ):
             return []
         self._next_min_revision_request_at = now + MIN_REVISION_REQUEST_SECONDS
-        request = messages.FloorAsk(nonce=self._heartbeat_id)
+        request = messages.MinRevisionRequest(nonce=self._heartbeat_id)
         return [core.Send(dst=name, msg=request) for name in self._voters]
 
-    def beat(
+    def send_heartbeat(
         self,
         *,
         inc: int,
@@ -89,7 +92,7 @@
         self._heartbeat_id += 1
         self._sent_at[self._heartbeat_id] = now
         self._sent_at.pop(self._heartbeat_id - 16, None)
-        msg = messages.Beat(
+        msg = messages.Heartbeat(
             beat_id=self._heartbeat_id,
             inc=inc,
             place=place,
@@ -100,7 +103,7 @@
         return [core.Send(dst=self._destination(), msg=msg)]
 
     def on_ack(
-        self, msg: messages.BeatAck, now: float
+        self, msg: messages.HeartbeatAck, now: float
     ) -> tuple[int, float] | None:
         """Handle the answer to a heartbeat.
 
@@ -121,11 +124,13 @@
         self.leader_addr = msg.leader_addr
         return (msg.epoch, sent_at) if msg.confirmed else None
 
-    def on_floor(self, msg: messages.FloorReply, now: float) -> None:
+    def on_min_revision(
+        self, msg: messages.MinRevisionReply, now: float
+    ) -> None:
         """Handle the minimum revision; only the first confirmed one counts."""
         self.heard_at = now
-        if msg.confirmed and self.floor is None:
-            self.floor = msg.revision
+        if msg.confirmed and self.min_revision is None:
+            self.min_revision = msg.revision
 
     def _destination(self) -> str:
         return (
--- a/jasperweir/components/control/controller.py
+++ b/jasperweir/components/control/controller.py
@@ -17,8 +17,8 @@
 from jasperweir.components.quorum import const as quorum_const
 from jasperweir.components.quorum import messages as quorum_messages
 from jasperweir.components.quorum import voter as voter_lib
-from jasperweir.components.registry import machine as machine_lib
 from jasperweir.components.registry import ops
+from jasperweir.components.registry import state_machine as machine_lib
 from jasperweir.helpers import codec
 
 Actions = list[Any]
@@ -47,7 +47,7 @@
         *,
         voter: voter_lib.Voter,
         gossip: gossip_lib.Gossip,
-        machine: machine_lib.Machine,
+        machine: machine_lib.StateMachine,
         address: str,
     ) -> None:
         self.voter = voter
@@ -87,9 +87,9 @@
     def receive(self, src: str, msg: Any, now: float) -> Actions:
         """Handle a message from another process."""
         match msg:
-            case messages.Beat():
+            case messages.Heartbeat():
                 return self._on_heartbeat(src, msg, now)
-            case messages.FloorAsk():
+            case messages.MinRevisionRequest():
                 return [
                     core.Send(
                         dst=src, msg=self._make_min_revision_reply(msg, now)
@@ -193,13 +193,13 @@
     # Nodes.
 
     def _on_heartbeat(
-        self, src: str, msg: messages.Beat, now: float
+        self, src: str, msg: messages.Heartbeat, now: float
     ) -> Actions:
         self.reports[src] = rollout_lib.HeartbeatReport(
             heartbeat=msg, received_at=now
         )
         leader = self.voter.leader
-        ack = messages.BeatAck(
+        ack = messages.HeartbeatAck(
             beat_id=msg.beat_id,
             confirmed=self.voter.read_index(now) is not None,
             every_s=self.heartbeat_interval_s(),
@@ -215,10 +215,10 @@
         return out
 
     def _make_min_revision_reply(
-        self, msg: messages.FloorAsk, now: float
-    ) -> messages.FloorReply:
+        self, msg: messages.MinRevisionRequest, now: float
+    ) -> messages.MinRevisionReply:
         index = self.voter.read_index(now)
-        return messages.FloorReply(
+        return messages.MinRevisionReply(
             nonce=msg.nonce,
             confirmed=index is not None,
             revision=index or 0,
@@ -235,7 +235,7 @@
         own = self.gossip.roster.own.name
         return [
             core.Send(dst=m.name, msg=msg)
-            for m in self.gossip.roster.present(member_const.KIND_CONTROL)
+            for m in self.gossip.roster.live_members(member_const.KIND_CONTROL)
             if m.name != own
         ]
 
@@ -319,12 +319,12 @@
 
     def heartbeat_interval_s(self) -> float:
         """Return the heartbeat interval of each node in seconds."""
-        count = len(self.gossip.roster.present(member_const.KIND_ENTRY))
+        count = len(self.gossip.roster.live_members(member_const.KIND_ENTRY))
         return max(const.HEARTBEAT_SECONDS, count / const.HEARTBEATS_PER_SECOND)
 
     def nodes_by_place(self) -> dict[str, list[str]]:
         """Return the names of live entries by data centre."""
         nodes: dict[str, list[str]] = {}
-        for m in self.gossip.roster.present(member_const.KIND_ENTRY):
+        for m in self.gossip.roster.live_members(member_const.KIND_ENTRY):
             nodes.setdefault(m.place, []).append(m.name)
         return nodes
--- a/jasperweir/components/control/messages.py
+++ b/jasperweir/components/control/messages.py
@@ -6,7 +6,7 @@
 
 
 @codec.message("control.beat")
-class Beat(NamedTuple):
+class Heartbeat(NamedTuple):
     """Heartbeat of a node with its state.
 
     Attributes:
@@ -27,7 +27,7 @@
 
 
 @codec.message("control.beat_ack")
-class BeatAck(NamedTuple):
+class HeartbeatAck(NamedTuple):
     """Answer of a control VM to a heartbeat.
 
     Attributes:
@@ -51,14 +51,14 @@
 
 
 @codec.message("control.floor_ask")
-class FloorAsk(NamedTuple):
+class MinRevisionRequest(NamedTuple):
     """Request of a restarted node for the minimum revision to serve."""
 
     nonce: int
 
 
 @codec.message("control.floor_reply")
-class FloorReply(NamedTuple):
+class MinRevisionReply(NamedTuple):
     """Answer of a voter.
 
     Attributes:
--- a/jasperweir/components/control/rollout.py
+++ b/jasperweir/components/control/rollout.py
@@ -11,7 +11,7 @@
 class HeartbeatReport(NamedTuple):
     """Newest heartbeat of a node and the time of its arrival."""
 
-    heartbeat: messages.Beat
+    heartbeat: messages.Heartbeat
     received_at: float
 
 
--- a/jasperweir/components/deployment/model.py
+++ b/jasperweir/components/deployment/model.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class Kind(enum.Enum):
+class RouteKind(enum.Enum):
     """Which requests of a route may be retried after a failure."""
 
     SAFE = "safe"
@@ -47,7 +47,7 @@
     name: str
     host: str
     prefix: str
-    kind: Kind
+    kind: RouteKind
     timeout_s: float
     target_s: float
     gap_s: float
@@ -60,9 +60,9 @@
     @property
     def is_idempotent(self) -> bool:
         """Whether a request may run more than once."""
-        if self.kind is Kind.STREAM:
+        if self.kind is RouteKind.STREAM:
             return self.resumable
-        return self.kind is Kind.SAFE
+        return self.kind is RouteKind.SAFE
 
     def choose_service(self, rng: random.Random) -> str:
         """Return a service for one request, drawn at random by weight."""
--- a/jasperweir/components/deployment/check.py
+++ b/jasperweir/components/deployment/validation.py
@@ -3,7 +3,7 @@
 from jasperweir.components.deployment import model
 
 
-def problems(deployment: model.Deployment) -> list[str]:
+def find_problems(deployment: model.Deployment) -> list[str]:
     """Return the problems of a configuration, one sentence each.
 
     Returns:
--- a/jasperweir/components/directory/const.py
+++ b/jasperweir/components/directory/const.py
@@ -16,7 +16,7 @@
 TOMBSTONE_SECONDS = 120.0
 # Interval of node heartbeats, and the time without them after which a node is
 # removed from the addresses for callers, seconds.
-NODE_BEAT_SECONDS = 0.25
+NODE_HEARTBEAT_SECONDS = 0.25
 NODE_SILENT_SECONDS = 0.9
 # The same for agents, which send a heartbeat once a second, seconds.
 AGENT_SILENT_SECONDS = 3.0
--- a/jasperweir/components/directory/directory.py
+++ b/jasperweir/components/directory/directory.py
@@ -66,7 +66,7 @@
         """Return all records, including those of targets that are gone."""
         return [tracked.target for tracked in self._tracked.values()]
 
-    def serving(self, service: str, now: float) -> list[records.Target]:
+    def list_ready(self, service: str, now: float) -> list[records.Target]:
         """Return the targets of a service that accept new requests.
 
         The list is cached because it is read for every request.
@@ -123,11 +123,11 @@
             )
             self._on_change(None, target)
             return True
-        match incarnation.compare(target.born, tracked.target.born):
-            case incarnation.Start.EARLIER:
+        match incarnation.compare_starts(target.born, tracked.target.born):
+            case incarnation.StartOrder.EARLIER:
                 # A delayed announcement of an earlier start.
                 return False
-            case incarnation.Start.LATER:
+            case incarnation.StartOrder.LATER:
                 return self._replace_start(tracked, target, received_at, now)
         if now - tracked.received_at >= const.FORGET_SECONDS:
             # The target had expired from the cached lists.
@@ -155,7 +155,7 @@
         self._on_change(before, target)
         return True
 
-    def leave(
+    def mark_gone(
         self, target_id: str, now: float, born: int = 0
     ) -> records.Target:
         """Mark a target as gone for good and return its record.
@@ -177,10 +177,10 @@
             self._tracked[target_id] = tracked
             self._on_change(None, placeholder)
         before = tracked.target
-        order = incarnation.compare(born, before.born)
-        if order is incarnation.Start.EARLIER:
+        order = incarnation.compare_starts(born, before.born)
+        if order is incarnation.StartOrder.EARLIER:
             return before
-        if order is incarnation.Start.LATER:
+        if order is incarnation.StartOrder.LATER:
             before = before._replace(born=born)
             self._replace_start(tracked, before, now, now)
         tracked.target = before._replace(presence=Presence.GONE)
--- a/jasperweir/components/directory/incarnation.py
+++ b/jasperweir/components/directory/incarnation.py
@@ -8,7 +8,7 @@
 import enum
 
 
-class Start(enum.Enum):
+class StartOrder(enum.Enum):
     """Order of a reported start relative to the known start."""
 
     EARLIER = "earlier"
@@ -16,7 +16,7 @@
     LATER = "later"
 
 
-def compare(reported: int, known: int) -> Start:
+def compare_starts(reported: int, known: int) -> StartOrder:
     """Compare two starts of one target.
 
     Args:
@@ -28,5 +28,5 @@
         state their start may reuse an id.
     """
     if not reported or not known or reported == known:
-        return Start.SAME
-    return Start.LATER if reported > known else Start.EARLIER
+        return StartOrder.SAME
+    return StartOrder.LATER if reported > known else StartOrder.EARLIER
--- a/jasperweir/components/directory/records.py
+++ b/jasperweir/components/directory/records.py
@@ -65,7 +65,7 @@
 
 
 @codec.message("directory.beat")
-class NodeBeat(NamedTuple):
+class NodeHeartbeat(NamedTuple):
     """Heartbeat of an entry or agent to a control VM.
 
     Attributes:
@@ -85,7 +85,7 @@
 
 
 @codec.message("directory.control_beat")
-class ControlBeat(NamedTuple):
+class ControlHeartbeat(NamedTuple):
     """Heartbeat of a control VM with a summary of its state.
 
     Attributes:
@@ -116,7 +116,7 @@
 
 
 @codec.message("directory.nodes")
-class Nodes(NamedTuple):
+class NodeList(NamedTuple):
     """All live entries that callers may use."""
 
     digest: int
@@ -124,7 +124,7 @@
 
 
 @codec.message("directory.node_news")
-class NodeNews(NamedTuple):
+class NodeListUpdate(NamedTuple):
     """Change of the list of entries that callers may use.
 
     Attributes:
@@ -139,7 +139,7 @@
 
 
 @codec.message("directory.targets")
-class Targets(NamedTuple):
+class TargetList(NamedTuple):
     """Target records of a control VM.
 
     Attributes:
@@ -154,7 +154,7 @@
 
 
 @codec.message("directory.news")
-class News(NamedTuple):
+class TargetUpdate(NamedTuple):
     """A changed target record.
 
     Attributes:
@@ -172,7 +172,7 @@
 
 
 @codec.message("directory.news_ack")
-class NewsAck(NamedTuple):
+class TargetUpdateAck(NamedTuple):
     """Acknowledgement of a numbered TargetUpdate by a control VM."""
 
     number: int
--- a/jasperweir/components/discovery/client.py
+++ b/jasperweir/components/discovery/client.py
@@ -30,7 +30,7 @@
 # Heartbeat interval to control VMs of other data centres. It is a multiple of
 # the interval within the data centre, so that both are sent on one tick; a
 # late heartbeat still arrives before the node counts as silent.
-REMOTE_HEARTBEAT_SECONDS = 2 * directory_const.NODE_BEAT_SECONDS
+REMOTE_HEARTBEAT_SECONDS = 2 * directory_const.NODE_HEARTBEAT_SECONDS
 # Silence after which a control VM counts as unreachable.
 CONTROL_TIMEOUT_SECONDS = 1.5
 # Validity of the leader's confirmation of the newest version; a version that
@@ -61,7 +61,7 @@
         nodes: Open entries that it has listed, by name.
     """
 
-    heartbeat: records.ControlBeat | None = None
+    heartbeat: records.ControlHeartbeat | None = None
     heard_at: float = float("-inf")
     heartbeat_sent_at: float = float("-inf")
     targets_digest: int = 0
@@ -93,7 +93,7 @@
         node: records.Node,
         seeds: tuple[str, ...],
         now: float,
-        heartbeat_s: float = directory_const.NODE_BEAT_SECONDS,
+        heartbeat_s: float = directory_const.NODE_HEARTBEAT_SECONDS,
         wants_content: bool = True,
     ) -> None:
         self.node = node
@@ -195,11 +195,11 @@
         self, target: records.Target, now: float
     ) -> Actions:
         """Mark an incarnation as gone from its address and announce it."""
-        held = self.directory.leave(target.target_id, now, target.born)
+        held = self.directory.mark_gone(target.target_id, now, target.born)
         if held.presence is not records.Presence.GONE:
             # A later incarnation has started at the address.
             return []
-        return self._send_to_controls(records.News(target=held), now)
+        return self._send_to_controls(records.TargetUpdate(target=held), now)
 
     def announce_target_leaving(
         self, target: records.Target, now: float
@@ -208,9 +208,11 @@
         leaving = target._replace(presence=records.Presence.LEAVING)
         if not self.directory.merge(leaving, now):
             return []
-        return self._send_to_controls(records.News(target=leaving), now)
+        return self._send_to_controls(records.TargetUpdate(target=leaving), now)
 
-    def _send_to_controls(self, news: records.News, now: float) -> Actions:
+    def _send_to_controls(
+        self, news: records.TargetUpdate, now: float
+    ) -> Actions:
         return [
             core.Send(dst=name, msg=news)
             for name, _ in self._heartbeat_controls(now)
@@ -252,22 +254,22 @@
     def receive(self, src: str, msg: Any, now: float) -> Actions:
         """Handle a message from a control VM."""
         match msg:
-            case records.ControlBeat():
+            case records.ControlHeartbeat():
                 return self._on_heartbeat(src, msg, now)
-            case records.Targets():
+            case records.TargetList():
                 return self._on_targets(src, msg, now)
-            case records.News():
+            case records.TargetUpdate():
                 self.directory.merge(msg.target, now)
                 control = self._mark_heard(src, now)
                 if msg.before and control.targets_digest == msg.before:
                     control.targets_digest = msg.after
-            case records.Nodes():
+            case records.NodeList():
                 control = self._mark_heard(src, now)
                 control.nodes = {node.name: node for node in msg.nodes}
                 control.nodes_digest = msg.digest
-            case records.NodeNews():
+            case records.NodeListUpdate():
                 self._on_node_changes(self._mark_heard(src, now), msg)
-            case messages.VersionNews():
+            case messages.VersionNotice():
                 self._record_announced_version(src, msg.version, now)
                 return self._pull(now)
             case messages.Content():
@@ -324,7 +326,7 @@
         self, name: str, control: Control, now: float
     ) -> core.Send:
         control.heartbeat_sent_at = now
-        heartbeat = records.NodeBeat(
+        heartbeat = records.NodeHeartbeat(
             node=self.node,
             version=self.version,
             digest=control.targets_digest,
@@ -333,7 +335,9 @@
         )
         return core.Send(dst=name, msg=heartbeat)
 
-    def _on_node_changes(self, control: Control, msg: records.NodeNews) -> None:
+    def _on_node_changes(
+        self, control: Control, msg: records.NodeListUpdate
+    ) -> None:
         if control.nodes_digest != msg.before:
             # A change was lost; the digest in the next heartbeat reveals it.
             return
@@ -345,7 +349,7 @@
                 control.nodes.pop(node.name, None)
 
     def _on_heartbeat(
-        self, src: str, msg: records.ControlBeat, now: float
+        self, src: str, msg: records.ControlHeartbeat, now: float
     ) -> Actions:
         control = self._mark_heard(src, now)
         control.heartbeat = msg
@@ -357,7 +361,7 @@
         return self._pull(now)
 
     def _on_targets(
-        self, src: str, msg: records.Targets, now: float
+        self, src: str, msg: records.TargetList, now: float
     ) -> Actions:
         if msg.digest:
             self._mark_heard(src, now).targets_digest = msg.digest
@@ -367,10 +371,12 @@
             held = self.directory.get(target.target_id)
             if held is None or held.presence <= target.presence:
                 continue
-            order = incarnation.compare(target.born, held.born)
-            if order is incarnation.Start.SAME:
+            order = incarnation.compare_starts(target.born, held.born)
+            if order is incarnation.StartOrder.SAME:
                 # The control VM has lost the record that the target leaves.
-                out.append(core.Send(dst=src, msg=records.News(target=held)))
+                out.append(
+                    core.Send(dst=src, msg=records.TargetUpdate(target=held))
+                )
         return out
 
     def _record_announced_version(
@@ -401,7 +407,7 @@
         source = sources[self._pull_count % len(sources)]
         self._pull_count += 1
         self._last_pull_at = now
-        pull = messages.Pull(held=self.version)
+        pull = messages.ContentRequest(held=self.version)
         return [core.Send(dst=source, msg=pull)]
 
     def _controls_ahead(self) -> list[str]:
--- a/jasperweir/components/entry/node.py
+++ b/jasperweir/components/entry/node.py
@@ -25,7 +25,7 @@
 from jasperweir.components.quarantine import fingerprint as fingerprint_lib
 from jasperweir.components.quarantine import ledger as ledger_lib
 from jasperweir.components.quarantine import messages as quarantine_messages
-from jasperweir.components.quarantine import spread as spread_lib
+from jasperweir.components.quarantine import replication as spread_lib
 from jasperweir.components.routing import router as router_lib
 
 Actions = list[Any]
@@ -102,7 +102,7 @@
             window=claim_const.DEFAULT_WINDOW_SECONDS,
         )
         self.claim_client = claim_client_lib.ClaimClient(owner=self.claim_owner)
-        self.control = control_client.Client(voters=voters, rng=rng)
+        self.control = control_client.ControlClient(voters=voters, rng=rng)
         self.budget = retry.RetryBudget()
         self.burn = windows_lib.Windows()
         self.ledger = ledger_lib.Ledger()
@@ -121,18 +121,18 @@
 
     def start(self, now: float) -> Actions:
         """Join the system."""
-        return self.gossip.join() + self.control.ask_floor(now)
+        return self.gossip.join() + self.control.request_min_revision(now)
 
     def tick(self, now: float) -> Actions:
         """Run periodic work."""
         out = self.gossip.tick(now)
-        out += self.control.ask_floor(now)
+        out += self.control.request_min_revision(now)
         self._apply_config()
         out += self.claim_owner.on_view(self.replica.view(), now)
         out += self.claim_owner.tick(now)
         out += self.claim_client.tick(now)
         if self.is_serving and self.gossip.roster.own.status == Status.JOINING:
-            self.gossip.touch(status=Status.ALIVE)
+            self.gossip.update_own(status=Status.ALIVE)
         out += self._build_heartbeat(now)
         out += self._compare_ledgers(now)
         self._apply_targets()
@@ -147,14 +147,14 @@
 
     def _receive(self, src: str, src_inc: int, msg: Any, now: float) -> Actions:
         match msg:
-            case control_messages.BeatAck():
+            case control_messages.HeartbeatAck():
                 confirmed = self.control.on_ack(msg, now)
                 if confirmed is not None:
                     self.claim_owner.confirm(*confirmed)
                 return []
-            case control_messages.FloorReply():
-                self.control.on_floor(msg, now)
-                self.replica.floor = self.control.floor
+            case control_messages.MinRevisionReply():
+                self.control.on_min_revision(msg, now)
+                self.replica.min_revision = self.control.min_revision
                 return []
             case quarantine_messages.Marks() | quarantine_messages.Compare():
                 return list(self._mark_replication.receive(src, msg, now))
@@ -182,7 +182,7 @@
     @property
     def is_serving(self) -> bool:
         """Whether requests can be accepted."""
-        return self.replica.ready
+        return self.replica.is_ready
 
     def admit(
         self,
@@ -234,14 +234,14 @@
     ) -> Actions:
         """Record that an engine crashed under a request; notify others."""
         marks = self.ledger.add(fingerprint, incarnation, now)
-        return list(spread_lib.tell(marks, self._other_entries()))
+        return list(spread_lib.send_marks(marks, self._other_entries()))
 
     def record_complete_answer(
         self, fingerprint: fingerprint_lib.Fingerprint, now: float
     ) -> Actions:
         """Record that a request was answered completely; notify others."""
-        marks = self.ledger.absolve(fingerprint, now)
-        return list(spread_lib.tell(marks, self._other_entries()))
+        marks = self.ledger.clear_marks(fingerprint, now)
+        return list(spread_lib.send_marks(marks, self._other_entries()))
 
     def addresses(
         self, *, service: str, place: str, salt: str
@@ -268,7 +268,7 @@
         if self.draining:
             return []
         self.draining = True
-        return self.gossip.leave()
+        return self.gossip.announce_leaving()
 
     def active(self) -> int:
         """Return the number of admitted and queued requests."""
@@ -292,7 +292,7 @@
 
     def _build_heartbeat(self, now: float) -> Actions:
         own = self.gossip.roster.own
-        return self.control.beat(
+        return self.control.send_heartbeat(
             inc=own.inc,
             place=own.place,
             revision=self.replica.table.revision,
--- a/jasperweir/components/entry/quarantine_gate.py
+++ b/jasperweir/components/entry/quarantine_gate.py
@@ -51,7 +51,7 @@
         if not isinstance(result, events.Broke) or not result.engine_end:
             return
         self._context.increment("engine_ends")
-        request_fingerprint = fingerprint.of(self._request.subject)
+        request_fingerprint = fingerprint.compute(self._request.subject)
         target = ledger.Incarnation(f"{name}/{inc}", result.engine_end)
         entry, now = self._context.entry, self._context.now()
         self._context.tell(
--- a/jasperweir/components/experts/group.py
+++ b/jasperweir/components/experts/group.py
@@ -23,7 +23,7 @@
 _COORDINATOR_MESSAGES = (messages.Sealed, messages.Prepared, messages.Granted)
 
 
-class Shape(NamedTuple):
+class GroupShape(NamedTuple):
     """Size of a group, as its engine reports it.
 
     Attributes:
@@ -77,20 +77,20 @@
         self, *, name: str, own: str, metrics: metrics_lib.Metrics
     ) -> None:
         self.name = name
-        self.guard = step_gate.StepGate(group=name)
+        self.step_gate = step_gate.StepGate(group=name)
         self.coordinator: coordinator_lib.Coordinator | None = None
         self.moves = 0
         self.planned_skew = 0.0
         self._own_name = own
         self._metrics = metrics
-        self._shape: Shape | None = None
+        self._shape: GroupShape | None = None
         self._popularity: popularity_lib.Popularity | None = None
         self._speeds: stragglers.SpeedEstimator | None = None
         self._planned_at = 0.0
         self._move_budget = 0.0
         self._last_version = 0
 
-    def set_shape(self, shape: Shape) -> None:
+    def set_shape(self, shape: GroupShape) -> None:
         """Set the group's size; a new size resets the estimates."""
         if shape == self._shape:
             return
@@ -214,7 +214,7 @@
             if self.coordinator is None:
                 return []
             return self.coordinator.receive(src, msg, now)
-        return self.guard.receive(src, msg)
+        return self.step_gate.receive(src, msg)
 
     def _initial_map(self, term: int) -> messages.Map:
         assert self._shape is not None
--- a/jasperweir/components/forward/admission.py
+++ b/jasperweir/components/forward/admission.py
@@ -54,12 +54,12 @@
         """Return whether a new request may be sent before queued ones."""
         if candidates.free_slots < 1:
             return False
-        if self._outages.of(exchange.service).lasts(now):
+        if self._outages.get(exchange.service).is_active(now):
             # The first requests serve as probes for the end of the outage.
             return True
         gate = self._queues.get(exchange.service).gate
         if self._queues.is_timely(exchange, now):
-            return not gate.timely(now)
+            return not gate.count_timely(now)
         if len(gate):
             return False
         return candidates.late_slots >= 1 or not self._startup_grace.is_active(
--- a/jasperweir/components/forward/available_targets.py
+++ b/jasperweir/components/forward/available_targets.py
@@ -1,6 +1,6 @@
 """Targets of a service that accept requests now."""
 
-from jasperweir.components.backpressure import asked as asked_lib
+from jasperweir.components.backpressure import backpressure as asked_lib
 from jasperweir.components.balance import outage as outage_lib
 from jasperweir.components.directory import directory as directory_lib
 from jasperweir.components.directory import records
@@ -36,7 +36,7 @@
 
     def list_available(self, service: str, now: float) -> list[records.Target]:
         """Return the targets of a service that accept requests."""
-        announced = self._directory.serving(service, now)
+        announced = self._directory.list_ready(service, now)
         return self.filter_available(announced, service, now)
 
     def filter_available(
@@ -48,9 +48,9 @@
         that were not tried yet would appear full, and requests would queue for
         them in vain.
         """
-        if self._outages.of(service).lasts(now):
-            return self.backpressure.unbarred(targets, now)
-        return self.backpressure.open_to(targets, now)
+        if self._outages.get(service).is_active(now):
+            return self.backpressure.list_unblocked(targets, now)
+        return self.backpressure.list_available(targets, now)
 
     def seconds_until_available(
         self, service: str, tried: set[str], ahead: int, now: float
@@ -66,14 +66,16 @@
         Returns:
             Infinity if no untried target is announced.
         """
-        announced = self._directory.serving(service, now)
+        announced = self._directory.list_ready(service, now)
         untried = [t for t in announced if t.target_id not in tried]
-        return self.backpressure.opens_in_s(untried, now, ahead)
+        return self.backpressure.available_in_s(untried, now, ahead)
 
     def on_service_recovered(self, service: str, now: float) -> None:
         """Clear the refusals of a service's targets after an outage."""
-        self.backpressure.forgive(self._directory.serving(service, now))
+        self.backpressure.clear_refusals(
+            self._directory.list_ready(service, now)
+        )
 
     def tidy(self, now: float) -> None:
         """Drop expired state and state of targets that are gone."""
-        self.backpressure.tidy(self._directory.get, now)
+        self.backpressure.prune(self._directory.get, now)
--- a/jasperweir/components/forward/crash_detector.py
+++ b/jasperweir/components/forward/crash_detector.py
@@ -104,9 +104,9 @@
         if current is None or current.presence is not records.Presence.READY:
             # A target that is shutting down closes connections by itself.
             return
-        request_fingerprint = fingerprint.of(_build_subject(exchange))
+        request_fingerprint = fingerprint.compute(_build_subject(exchange))
         now = self._clock.monotonic()
-        attempt = suspects_lib.Try(
+        attempt = suspects_lib.Attempt(
             exchange.state.caller_headers.request_id, sent_at, now
         )
         if not self._suspects.on_broken(target, request_fingerprint, attempt):
@@ -121,7 +121,9 @@
         """Record that a target responded to a request sent at a given time."""
         if len(self.ledger):
             now = self._clock.monotonic()
-            marks = self.ledger.lives(_build_incarnation(target), sent_at, now)
+            marks = self.ledger.record_alive(
+                _build_incarnation(target), sent_at, now
+            )
             self._publish(marks)
 
     def on_completed(self, exchange: "exchange_lib.Exchange") -> None:
@@ -129,7 +131,7 @@
         request_fingerprint = self._find_fingerprint(exchange)
         if request_fingerprint is not None:
             self._publish(
-                self.ledger.absolve(
+                self.ledger.clear_marks(
                     request_fingerprint, self._clock.monotonic()
                 )
             )
@@ -150,13 +152,13 @@
         if result is ProbeResult.REFUSED:
             self._add_marks(case)
         elif result is ProbeResult.NO_REPLY:
-            self._suspects.keep(case, self._clock.monotonic())
+            self._suspects.defer(case, self._clock.monotonic())
 
     def tick(self, now: float) -> None:
         """Expire old records and add marks for targets found to be gone."""
         self.ledger.tick(now)
-        cases = self._suspects.cleared(
-            lambda service: self._directory.serving(service, now), now
+        cases = self._suspects.pop_replaced(
+            lambda service: self._directory.list_ready(service, now), now
         )
         for case in cases:
             self._recorder.record_probe(case, ProbeResult.REPLACED.value)
--- a/jasperweir/components/forward/exchange.py
+++ b/jasperweir/components/forward/exchange.py
@@ -118,7 +118,7 @@
         assert self._target is not None
         now = self._forwarder.now()
         state = self.state
-        if self._forwarder.targets.backpressure.bars(self._target, now):
+        if self._forwarder.targets.backpressure.is_blocked(self._target, now):
             # The target sent backpressure while the connection was opened.
             self._forwarder.pool.release(_pool_key(self._target), conn)
             self._release_slot()
--- a/jasperweir/components/forward/forwarder.py
+++ b/jasperweir/components/forward/forwarder.py
@@ -9,10 +9,10 @@
 from jasperweir.components.balance import balancer as balancer_lib
 from jasperweir.components.balance import budget as budget_lib
 from jasperweir.components.balance import const as balance_const
+from jasperweir.components.balance import entry_cell as neighbours_lib
 from jasperweir.components.balance import messages as balance_messages
-from jasperweir.components.balance import neighbours as neighbours_lib
 from jasperweir.components.balance import outage as outage_lib
-from jasperweir.components.balance import patience as patience_lib
+from jasperweir.components.balance import wait_estimate as patience_lib
 from jasperweir.components.deployment import index as index_lib
 from jasperweir.components.directory import directory as directory_lib
 from jasperweir.components.directory import records
@@ -67,7 +67,7 @@
         rng: random.Random,
         dialect: dialect_lib.Dialect,
         directory: directory_lib.Directory,
-        neighbours: neighbours_lib.Neighbours,
+        neighbours: neighbours_lib.EntryCell,
         bounds: budget_lib.BudgetBounds,
         times: http_client.ClientTimeouts,
         metrics: metrics_lib.Metrics,
@@ -96,7 +96,7 @@
         self._rejections = rejections.RejectionResponder(
             dialect=dialect, rng=rng
         )
-        self._patience = patience_lib.UsualPatience()
+        self._patience = patience_lib.WaitEstimator()
         self._outages = outage_lib.Outages()
         self._early_requests = early_requests.EarlyRequestBuffer()
         self._startup_grace = startup_grace_lib.StartupGrace(
@@ -183,7 +183,7 @@
         )
         if caller_headers.resume_after:
             deadline = now + balance_const.RESUMED_WAIT_SECONDS
-        is_full = len(self._early_requests) >= balance_const.START_KEPT_MOST
+        is_full = len(self._early_requests) >= balance_const.START_BUFFERED_MAX
         if self.stopping or is_full or deadline <= now:
             self._turn_away_request(
                 answering, caller_headers, Code.NOT_READY, "no configuration"
@@ -236,7 +236,9 @@
             return
         now = self.now()
         service = match.route.choose_service(self._rng)
-        used_s = self._patience.used(match.route, caller_headers.patience_s)
+        used_s = self._patience.estimate_waited_s(
+            match.route, caller_headers.patience_s
+        )
         state = request_state.RequestState(
             match=match,
             caller_headers=caller_headers,
@@ -288,7 +290,7 @@
         self, service: str, targets: list[records.Target], now: float
     ) -> capacity_lib.Candidates:
         return self.capacity.find_candidates(
-            targets, self.pass_monitor.limits.of(service), now
+            targets, self.pass_monitor.limits.get(service), now
         )
 
     def _choose_and_send(
@@ -313,7 +315,7 @@
             self.admission.wait_for_available_target(exchange, now)
             return
         target_id = target.target_id
-        self._outages.of(exchange.service).on_sent(now)
+        self._outages.get(exchange.service).on_sent(now)
         self._recorder.record_choice(
             exchange,
             target,
@@ -321,7 +323,9 @@
             unreported=self.balancer.unknown_at(target_id, now),
             free_slots=candidates.free_slots,
             candidate_count=len(candidates.targets),
-            backoff_left_s=self.targets.backpressure.rest_left_s(target, now),
+            backoff_left_s=self.targets.backpressure.backoff_left_s(
+                target, now
+            ),
             now=now,
         )
         self.targets.backpressure.on_chosen(target, now)
@@ -338,7 +342,7 @@
     def retry(self, exchange: exchange_lib.Exchange) -> None:
         """Send a request to another target if the retry budget allows."""
         now = self.now()
-        if self._outages.of(exchange.service).lasts(now):
+        if self._outages.get(exchange.service).is_active(now):
             # Another target would refuse the request as well.
             exchange.fail(Code.TARGETS_REFUSED)
             return
@@ -414,7 +418,7 @@
             slowdowns: Slowdown factors by target address.
             now: Monotonic seconds.
         """
-        self.balancer.on_paces(slowdowns, now)
+        self.balancer.update_slowdowns(slowdowns, now)
         for exchange in stragglers.find_streams_to_move(
             self._open_exchanges.values(), self.balancer, self._directory, now
         ):
@@ -449,7 +453,7 @@
         """Handle another entry's load report."""
         now = self.now()
         self.balancer.on_share(src, msg, now)
-        self.targets.backpressure.on_told(msg.refusing, now)
+        self.targets.backpressure.on_peer_refusals(msg.refusing, now)
 
     def tidy(self) -> None:
         """Close idle connections and drop expired backpressure state."""
@@ -492,7 +496,7 @@
             exchange.state.caller_headers,
             code,
             now,
-            outage=self._outages.of(exchange.service).lasts(now),
+            outage=self._outages.get(exchange.service).is_active(now),
             expected_wait_s=exchange.state.expected_wait_s,
             quarantine_s=self.crash_detector.find_verdict(exchange, now).held_s,
         )
--- a/jasperweir/components/forward/outcome_tracker.py
+++ b/jasperweir/components/forward/outcome_tracker.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from jasperweir import core
-from jasperweir.components.backpressure import asked as asked_lib
+from jasperweir.components.backpressure import backpressure as asked_lib
 from jasperweir.components.backpressure import signals as signals_lib
 from jasperweir.components.balance import balancer as balancer_lib
 from jasperweir.components.balance import const
@@ -73,13 +73,13 @@
         if fault is request_state.Fault.REPLACED:
             self.on_replaced(target)
         # Backpressure of one target does not indicate an outage of its service.
-        is_backing_off = self._targets.backpressure.bars(target, now)
+        is_backing_off = self._targets.backpressure.is_blocked(target, now)
         if fault is request_state.Fault.NOT_RUN and not is_backing_off:
             self._targets.backpressure.on_refused(target, now)
             threshold = const.OUTAGE_REFUSALS
             if self._startup_grace.is_active(now):
                 threshold = const.START_REFUSALS
-            if self._outages.of(exchange.service).on_refusal(now, threshold):
+            if self._outages.get(exchange.service).on_refusal(now, threshold):
                 self._recorder.record_outage(exchange.service, begins=True)
         at_target = self._balancer.count_at(target.target_id, now)
         self._recorder.record_fault(exchange, target, fault, reason, at_target)
@@ -91,7 +91,7 @@
         now = self._clock.monotonic()
         if self._targets.backpressure.on_taken(target, now):
             self._recorder.record_recovery(target)
-        if self._outages.of(exchange.service).on_answer(now):
+        if self._outages.get(exchange.service).on_answer(now):
             self._targets.on_service_recovered(exchange.service, now)
             self._recorder.record_outage(exchange.service, begins=False)
 
--- a/jasperweir/components/forward/pass_monitor.py
+++ b/jasperweir/components/forward/pass_monitor.py
@@ -35,7 +35,7 @@
     def _update_limit(
         self, service: str, limit: passes_lib.PassLimit, now: float
     ) -> None:
-        targets = self._directory.serving(service, now)
+        targets = self._directory.list_ready(service, now)
         streams = self._capacity.update_limit(targets, limit, now)
         self._recorder.record_pass(service, limit.pass_s, streams)
         max_streams = limit.streams(now)
--- a/jasperweir/components/forward/queues.py
+++ b/jasperweir/components/forward/queues.py
@@ -5,11 +5,11 @@
 
 from jasperweir.components.balance import balancer as balancer_lib
 from jasperweir.components.balance import const as balance_const
+from jasperweir.components.balance import entry_cell as neighbours_lib
 from jasperweir.components.balance import forecast as forecast_lib
-from jasperweir.components.balance import gate as gate_lib
 from jasperweir.components.balance import messages
-from jasperweir.components.balance import neighbours as neighbours_lib
 from jasperweir.components.balance import outage as outage_lib
+from jasperweir.components.balance import wait_queue as gate_lib
 from jasperweir.components.forward import capacity as capacity_lib
 from jasperweir.components.forward import exchange as exchange_lib
 
@@ -23,7 +23,7 @@
     """
 
     def __init__(self) -> None:
-        self.gate = gate_lib.Gate()
+        self.gate = gate_lib.WaitQueue()
         self.forecast = forecast_lib.Forecast()
 
 
@@ -34,7 +34,7 @@
         self,
         *,
         balancer: balancer_lib.Balancer,
-        neighbours: neighbours_lib.Neighbours,
+        neighbours: neighbours_lib.EntryCell,
         outages: outage_lib.Outages,
         rng: random.Random,
     ) -> None:
@@ -69,7 +69,7 @@
         """
         queue = self.get(service)
         # Late requests are served after timely ones and do not count.
-        ahead = queue.gate.timely(now) - min(candidates.free_slots, 0)
+        ahead = queue.gate.count_timely(now) - min(candidates.free_slots, 0)
         ahead += self._balancer.queue_elsewhere(service, now).timely
         return queue.forecast.wait_s(ahead=ahead, running=running)
 
@@ -84,8 +84,8 @@
         """
         state = exchange.state
         queue = self.get(exchange.service)
-        queue.gate.wait(
-            gate_lib.Waiting(
+        queue.gate.enqueue(
+            gate_lib.QueuedRequest(
                 priority=state.match.priority,
                 since=state.first_attempt_at,
                 number=exchange.number,
@@ -97,7 +97,7 @@
 
     def remove(self, exchange: exchange_lib.Exchange) -> bool:
         """Remove a finished request and return whether it was queued."""
-        return self.get(exchange.service).gate.withdraw(exchange.number)
+        return self.get(exchange.service).gate.remove(exchange.number)
 
     def is_timely(self, exchange: exchange_lib.Exchange, now: float) -> bool:
         """Return whether a request sent now can meet its target time."""
@@ -119,7 +119,7 @@
         now: float,
         *,
         is_starting: bool = False,
-    ) -> forecast_lib.Part:
+    ) -> forecast_lib.SlotAllocation:
         """Return how many waiting requests may be sent now.
 
         Args:
@@ -134,31 +134,33 @@
                 candidates.free_slots >= 1
                 and self._take_probe(service, now, is_starting)
             )
-            return forecast_lib.Part(timely=0, late=probes, yielding=probes)
+            return forecast_lib.SlotAllocation(
+                timely=0, late=probes, yielding=probes
+            )
         other_queues = self._balancer.queue_elsewhere(service, now)
         # The queues of entries outside the own cell are unknown.
         known_entries = 1 + len(self._neighbours.peers)
         known_share = min(1.0, known_entries / max(candidates.entry_count, 1))
         own_queue = self._summarize(service, now)
-        return forecast_lib.part(
+        return forecast_lib.allocate_slots(
             candidates.free_slots * known_share,
             own_queue,
             other_queues,
             self._rng,
-            late_places=candidates.late_slots * known_share,
+            late_slots=candidates.late_slots * known_share,
         )
 
     def _is_in_outage(
         self, service: str, now: float, *, is_starting: bool
     ) -> bool:
         """Return whether all targets of a service refuse requests."""
-        outage = self._outages.of(service)
-        return outage.lasts(now) and not (
+        outage = self._outages.get(service)
+        return outage.is_active(now) and not (
             is_starting and outage.seems_over(now)
         )
 
     def _take_probe(self, service: str, now: float, is_starting: bool) -> bool:
-        outage = self._outages.of(service)
+        outage = self._outages.get(service)
         if is_starting:
             return outage.take_probe(now, balance_const.START_PROBE_SECONDS)
         return outage.take_probe(now)
@@ -170,5 +172,5 @@
 
     def _summarize(self, service: str, now: float) -> messages.Queue:
         gate = self.get(service).gate
-        timely = gate.timely(now)
+        timely = gate.count_timely(now)
         return messages.Queue(service, timely, len(gate) - timely)
--- a/jasperweir/components/forward/recorder.py
+++ b/jasperweir/components/forward/recorder.py
@@ -3,7 +3,7 @@
 import math
 
 from jasperweir import result_codes
-from jasperweir.components.backpressure import asked as asked_lib
+from jasperweir.components.backpressure import backpressure as asked_lib
 from jasperweir.components.backpressure import signals as signals_lib
 from jasperweir.components.directory import records
 from jasperweir.components.forward import dialect as dialect_lib
@@ -205,7 +205,7 @@
                 f"target {change.value}",
                 target=target.target_id,
                 address=target.address,
-                rest_s=signals.rest_s,
+                rest_s=signals.backoff_s,
                 limit_per_s=signals.limit_per_s,
                 unreadable=list(signals.unreadable),
             )
--- a/jasperweir/components/forward/rejections.py
+++ b/jasperweir/components/forward/rejections.py
@@ -3,7 +3,7 @@
 import random
 
 from jasperweir import result_codes
-from jasperweir.components.balance import advice as advice_lib
+from jasperweir.components.balance import retry_advice as advice_lib
 from jasperweir.components.forward import dialect as dialect_lib
 from jasperweir.helpers import http_server
 
@@ -17,7 +17,7 @@
         self, *, dialect: dialect_lib.Dialect, rng: random.Random
     ) -> None:
         self._dialect = dialect
-        self._advice = advice_lib.ReturnAdvice(rng=rng)
+        self._advice = advice_lib.RetryAdvice(rng=rng)
 
     def reject(
         self,
@@ -58,7 +58,7 @@
         if code is Code.NOT_READY:
             return self._advice.while_starting()
         if code is Code.BACKPRESSURE:
-            return self._advice.after_rest(expected_wait_s)
+            return self._advice.after_backoff(expected_wait_s)
         if outage or code is Code.NO_TARGET:
             return self._advice.during_outage()
         return self._advice.after_refusal(now, expected_wait_s)
--- a/jasperweir/components/forward/request_state.py
+++ b/jasperweir/components/forward/request_state.py
@@ -110,7 +110,7 @@
     @property
     def is_stream(self) -> bool:
         """Whether the response is passed on event by event."""
-        return self.match.route.kind is model.Kind.STREAM
+        return self.match.route.kind is model.RouteKind.STREAM
 
     @property
     def customer_name(self) -> str:
@@ -144,7 +144,7 @@
         """Longest wait for a slot on a caller's first attempt, seconds."""
         return min(
             balance_const.WAIT_SHARE * self.match.route.target_s,
-            balance_const.WAIT_MOST_SHARE * self.remaining_s(self.arrived_at),
+            balance_const.WAIT_MAX_SHARE * self.remaining_s(self.arrived_at),
         )
 
     def expect_wait(self, seconds: float) -> bool:
@@ -163,14 +163,14 @@
     def wait_deadline(self) -> float:
         """When the request is rejected without a slot, monotonic seconds."""
         target_s = self.match.route.target_s
-        min_wait_s = balance_const.WAIT_LEAST_SECONDS
+        min_wait_s = balance_const.WAIT_MIN_SECONDS
         if self.is_resumed:
             wait_s = balance_const.RESUMED_WAIT_SECONDS
         elif self.is_last_attempt:
             remaining_s = self.remaining_s(self.arrived_at)
             wait_s = min(
-                balance_const.RETURNED_WAIT_SHARE * target_s,
-                balance_const.RETURNED_WAIT_MOST_SHARE * remaining_s,
+                balance_const.RETRY_WAIT_SHARE * target_s,
+                balance_const.RETRY_WAIT_MAX_SHARE * remaining_s,
             )
         else:
             usual_s = balance_const.FORECAST_FACTOR * self.expected_wait_s
--- a/jasperweir/components/forward/startup_grace.py
+++ b/jasperweir/components/forward/startup_grace.py
@@ -39,6 +39,6 @@
             return now
         wait_s = const.START_WAIT_SECONDS
         if patience_s is not None:
-            share = const.RETURNED_WAIT_MOST_SHARE
+            share = const.RETRY_WAIT_MAX_SHARE
             wait_s = min(wait_s, share * patience_s)
         return now + wait_s
--- a/jasperweir/components/forward/stragglers.py
+++ b/jasperweir/components/forward/stragglers.py
@@ -24,6 +24,6 @@
         target = directory.get(exchange.target_id)
         if target is None or not exchange.can_move:
             continue
-        if balancer.pace_of(target, now) >= const.MOVE_PACE:
+        if balancer.get_slowdown(target, now) >= const.MOVE_SLOWDOWN:
             moving.append(exchange)
     return moving
--- a/jasperweir/components/mapswitch/coordinator.py
+++ b/jasperweir/components/mapswitch/coordinator.py
@@ -224,4 +224,4 @@
                 relays=self._relays,
             )
             self._groups[name] = group
-        return group.on_beat(src, msg, now)
+        return group.on_heartbeat(src, msg, now)
--- a/jasperweir/components/mapswitch/expert_counts.py
+++ b/jasperweir/components/mapswitch/expert_counts.py
@@ -16,7 +16,7 @@
     counts: tuple[int, ...]
 
 
-NO_CHOICES = ExpertCounts(seconds=0.0, counts=())
+NO_COUNTS = ExpertCounts(seconds=0.0, counts=())
 
 
 class CountDiffer:
@@ -43,12 +43,12 @@
         old, self._counts = self._counts, counts
         since, self._at = self._at, now
         if not old or not counts:
-            return NO_CHOICES
+            return NO_COUNTS
         if len(counts) != len(old):
             self.dropped += 1
-            return NO_CHOICES
+            return NO_COUNTS
         new = tuple(b - a for a, b in zip(old, counts, strict=True))
         if min(new) < 0:
             self.dropped += 1
-            return NO_CHOICES
+            return NO_COUNTS
         return ExpertCounts(seconds=now - since, counts=new)
--- a/jasperweir/components/mapswitch/group.py
+++ b/jasperweir/components/mapswitch/group.py
@@ -90,7 +90,7 @@
         self._jumped_at = float("-inf")
         self._checked_at = float("-inf")
         # Agent of a rank that had not copied its experts at the last check.
-        self._behind = ""
+        self._unprepared_agent = ""
         # Holds of this switch that arrived after their pass.
         self._hold_attempts = 0
         self._times = switch_times.SwitchTimes()
@@ -103,7 +103,7 @@
 
     # Inputs.
 
-    def on_beat(
+    def on_heartbeat(
         self, src: str, heartbeat: messages.EngineHeartbeat, now: float
     ) -> Actions:
         """Handle a heartbeat, and take the step that waited for it."""
@@ -147,9 +147,9 @@
         While that rank has not prepared the map, heartbeats of other ranks need
         no check of all ranks; the next tick checks them.
         """
-        if self.phase is not Phase.PREPARING or agent == self._behind:
+        if self.phase is not Phase.PREPARING or agent == self._unprepared_agent:
             return False
-        member = self.members.find_by_agent(self._behind)
+        member = self.members.find_by_agent(self._unprepared_agent)
         return member is not None and member.state.prepared != self._version
 
     def on_order_result(self, msg: messages.OrderResult, now: float) -> Actions:
@@ -343,8 +343,8 @@
             return self._back_off(now, "group re-formed")
         if self._jumped_at > self._phase_started_at:
             return self._discard_prepared_map(now)
-        self._behind = self._find_unprepared_agent()
-        if not self._behind:
+        self._unprepared_agent = self._find_unprepared_agent()
+        if not self._unprepared_agent:
             if not self.members.is_complete(self._term, now):
                 return self._check_timeout(now, const.PREPARE_TIMEOUT_SECONDS)
             self._times.on_copied(now)
--- a/jasperweir/components/membership/detector.py
+++ b/jasperweir/components/membership/detector.py
@@ -68,7 +68,7 @@
         own = self._roster.own
         watched = {
             m.name
-            for m in self._roster.present()
+            for m in self._roster.live_members()
             if m.kind != const.KIND_CONTROL
             and m.name != own.name
             and own in self._roster.watchers(m.name)
--- a/jasperweir/components/membership/gossip.py
+++ b/jasperweir/components/membership/gossip.py
@@ -53,15 +53,15 @@
         msg = messages.Join(member=self.roster.own)
         return [core.Send(dst=seed.name, msg=msg) for seed in self._seeds]
 
-    def leave(self) -> Actions:
+    def announce_leaving(self) -> Actions:
         """Announce to several nodes at once that this node is leaving."""
         return self._announce_own(Status.LEAVING)
 
-    def left(self) -> Actions:
+    def announce_left(self) -> Actions:
         """Announce that this node has stopped in an orderly way."""
         return self._announce_own(Status.LEFT)
 
-    def touch(self, **changes: Any) -> None:
+    def update_own(self, **changes: Any) -> None:
         """Update the own record and spread it."""
         self._queue_rumor(self.roster.update_own(**changes))
 
@@ -280,7 +280,7 @@
             return ()
         return tuple(
             messages.Peer(m.name, m.addr)
-            for m in self.roster.present(const.KIND_AGENT)
+            for m in self.roster.live_members(const.KIND_AGENT)
             if m.group == member.group
         )
 
@@ -317,7 +317,7 @@
         own = self.roster.own.name
         names = [
             m.name
-            for m in self.roster.present()
+            for m in self.roster.live_members()
             if m.kind != const.KIND_AGENT and m.name != own
         ]
         return self._rng.sample(names, min(const.RUMOR_FANOUT, len(names)))
@@ -326,7 +326,7 @@
         member = self.roster.update_own(status=status)
         names = [
             m.name
-            for m in self.roster.present()
+            for m in self.roster.live_members()
             if m.kind != const.KIND_AGENT and m.name != member.name
         ]
         chosen = self._rng.sample(
--- a/jasperweir/components/membership/roster.py
+++ b/jasperweir/components/membership/roster.py
@@ -50,12 +50,12 @@
         """Return the entries that monitor a node."""
         if self._ring_version != self._entries_version:
             self._ring_version = self._entries_version
-            entries = [m.name for m in self.present(const.KIND_ENTRY)]
+            entries = [m.name for m in self.live_members(const.KIND_ENTRY)]
             self._ring = hashing.HashRing(names=entries)
         names = self._ring.list_successors(name, const.WATCHERS_PER_NODE)
         return [self._members[watcher] for watcher in names]
 
-    def present(self, kind: str = "") -> list[messages.Member]:
+    def live_members(self, kind: str = "") -> list[messages.Member]:
         """Return records of nodes that are neither dead nor stopped."""
         return [m for m in self.members(kind) if m.status < Status.DEAD]
 
--- a/jasperweir/components/quarantine/fingerprint.py
+++ b/jasperweir/components/quarantine/fingerprint.py
@@ -63,7 +63,7 @@
     return xxhash.xxh3_64_intdigest(_encode_parts(parts))
 
 
-def of(parts: Subject) -> Fingerprint:
+def compute(parts: Subject) -> Fingerprint:
     """Return the fingerprint of a request."""
     digest = hashlib.blake2b(digest_size=const.CONTENT_BYTES)
     digest.update(_encode_parts(parts))
--- a/jasperweir/components/quarantine/ledger.py
+++ b/jasperweir/components/quarantine/ledger.py
@@ -108,7 +108,7 @@
             fingerprint_lib.outline(subject)
         ):
             return None
-        return fingerprint_lib.of(subject)
+        return fingerprint_lib.compute(subject)
 
     def verdict(self, fingerprint: Fingerprint, now: float) -> Verdict:
         """Return the quarantine status of a request."""
@@ -169,7 +169,7 @@
             crash = Crash(at=now - run.ended_s, void=False, ran_s=run.took_s)
         return self._insert(fingerprint, incarnation, crash, now)
 
-    def absolve(
+    def clear_marks(
         self, fingerprint: Fingerprint, now: float
     ) -> tuple[messages.Mark, ...]:
         """Make the marks of a request void after a complete answer."""
@@ -182,7 +182,7 @@
                 out += self._insert(fingerprint, incarnation, new, now)
         return out
 
-    def lives(
+    def record_alive(
         self, incarnation: Incarnation, since: float, now: float
     ) -> tuple[messages.Mark, ...]:
         """Make the marks of a target void that has answered a request.
@@ -209,7 +209,7 @@
         """Lift the quarantine of requests for an operator."""
         out: tuple[messages.Mark, ...] = ()
         for fingerprint in fingerprints:
-            out += self.absolve(fingerprint, now)
+            out += self.clear_marks(fingerprint, now)
         return out
 
     def merge(
--- a/jasperweir/components/quarantine/spread.py
+++ b/jasperweir/components/quarantine/replication.py
@@ -18,7 +18,7 @@
 Message = messages.Marks | messages.Compare
 
 
-def tell(marks: tuple[messages.Mark, ...], names: Iterable[str]) -> Sends:
+def send_marks(marks: tuple[messages.Mark, ...], names: Iterable[str]) -> Sends:
     """Return the sends of marks to processes."""
     if not marks:
         return []
@@ -95,7 +95,9 @@
                 self._ledger.merge(msg.marks, now)
                 if not msg.whole:
                     return []
-                return tell(self._ledger.missing_marks(msg.marks, now), [src])
+                return send_marks(
+                    self._ledger.missing_marks(msg.marks, now), [src]
+                )
         return []
 
 
@@ -134,7 +136,7 @@
                 others = [*entries]
                 if src not in controls:
                     others += controls
-                return tell(new, [name for name in others if name != src])
+                return send_marks(new, [name for name in others if name != src])
             case messages.Compare():
                 return self._comparer.receive(src, msg, now)
         return []
--- a/jasperweir/components/quarantine/suspects.py
+++ b/jasperweir/components/quarantine/suspects.py
@@ -16,7 +16,7 @@
 from jasperweir.components.quarantine import fingerprint as fingerprint_lib
 
 
-class Try(NamedTuple):
+class Attempt(NamedTuple):
     """An attempt whose connection broke.
 
     Attributes:
@@ -40,7 +40,7 @@
     """
 
     target: records.Target
-    suspects: dict[fingerprint_lib.Fingerprint, Try]
+    suspects: dict[fingerprint_lib.Fingerprint, Attempt]
 
 
 class Suspects:
@@ -55,7 +55,7 @@
         self,
         target: records.Target,
         fingerprint: fingerprint_lib.Fingerprint,
-        broken: Try,
+        broken: Attempt,
     ) -> bool:
         """Record a request whose connection broke.
 
@@ -72,11 +72,11 @@
             case.suspects.setdefault(fingerprint, broken)
         return is_first
 
-    def keep(self, case: Case, now: float) -> None:
+    def defer(self, case: Case, now: float) -> None:
         """Keep a case whose target didn't answer the check for a time."""
         self._unconfirmed.append((now + const.REPLACEMENT_SECONDS, case))
 
-    def cleared(
+    def pop_replaced(
         self, serving: Callable[[str], list[records.Target]], now: float
     ) -> list[Case]:
         """Remove and return the cases whose targets have been replaced.
@@ -107,5 +107,5 @@
         return False
     if new.target_id != old.target_id:
         return True
-    order = incarnation.compare(new.born, old.born)
-    return order is incarnation.Start.LATER
+    order = incarnation.compare_starts(new.born, old.born)
+    return order is incarnation.StartOrder.LATER
--- a/jasperweir/components/registry/history.py
+++ b/jasperweir/components/registry/history.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from jasperweir.components.bundle import model
+from jasperweir.components.bundle import flat_content
 from jasperweir.components.config import const as config_const
 from jasperweir.components.config import table as table_lib
 from jasperweir.helpers import codec
@@ -10,9 +10,9 @@
 History = tuple[tuple[int, str | None], ...]
 
 
-def content_at(table: table_lib.Table, version: int) -> model.Content:
+def content_at(table: table_lib.Table, version: int) -> flat_content.Content:
     """Return the flat bundle content of a version."""
-    content: model.Content = {}
+    content: flat_content.Content = {}
     prefix = len(config_const.PREFIX_BUNDLE)
     for key in table.keys(config_const.PREFIX_BUNDLE):
         value = value_at(history_of(table.get(key)), version)
@@ -23,7 +23,7 @@
 
 def change_at(
     table: table_lib.Table, keys: Iterable[str], version: int
-) -> model.Change:
+) -> flat_content.Change:
     """Return the values of the given keys in a version."""
     prefix = len(config_const.PREFIX_BUNDLE)
     return {
--- a/jasperweir/components/registry/machine.py
+++ b/jasperweir/components/registry/state_machine.py
@@ -7,7 +7,7 @@
 from jasperweir import exceptions
 from jasperweir import result_codes
 from jasperweir.components.bundle import contents
-from jasperweir.components.bundle import model
+from jasperweir.components.bundle import flat_content
 from jasperweir.components.config import const as config_const
 from jasperweir.components.config import table as table_lib
 from jasperweir.components.registry import const
@@ -37,7 +37,7 @@
     audit: tuple[ops.AuditRecord, ...]
 
 
-class Machine:
+class StateMachine:
     """Registry of bundles, configurations, claim views and appointments.
 
     It is deterministic: all voters compute the same state from the same log.
@@ -94,7 +94,7 @@
         found: ops.Declared = codec.unpack(data, ops.Declared)
         return found
 
-    def content(self, version: int) -> model.Content:
+    def content(self, version: int) -> flat_content.Content:
         """Return the flat content of a version that has not been pruned."""
         return history.content_at(self.table, version)
 
@@ -218,7 +218,7 @@
         )
         return ops.Answer(Code.ACCEPTED, number, op.content_hash)
 
-    def _apply_change(self, change: model.Change) -> contents.Contents:
+    def _apply_change(self, change: flat_content.Change) -> contents.Contents:
         """Return the newest content with a change applied."""
         if self._head_contents is None and self.head:
             self._head_contents = contents.Contents.from_flat(
@@ -233,7 +233,7 @@
         self,
         index: int,
         req: ops.Request,
-        change: model.Change,
+        change: flat_content.Change,
         content_hash: str,
         note: str,
     ) -> int:
@@ -327,7 +327,7 @@
         if record.parent == 0:
             return ops.Answer(Code.UNKNOWN_VERSION, head, "no earlier version")
         before = self.content(record.parent)
-        change = model.diff(self.content(head), before)
+        change = flat_content.diff(self.content(head), before)
         self._head_contents = self._apply_change(change)
         self._put_version(index, record._replace(withdrawn=op.reason or "yes"))
         number = self._add_version(
@@ -399,6 +399,6 @@
         if version == self.head:
             bundle = self._apply_change({}).bundle
         else:
-            bundle = model.typed(self.content(version))
+            bundle = flat_content.typed(self.content(version))
         places = sorted(bundle.places.values(), key=lambda p: (p.order, p.name))
         return tuple(place.name for place in places)
--- a/jasperweir/components/routing/state.py
+++ b/jasperweir/components/routing/state.py
@@ -40,8 +40,8 @@
     samples: int = 0
     failures: int = 0
     ejections: int = 0
-    refusals: backpressure_state.Asked = dataclasses.field(
-        default_factory=lambda: backpressure_state.Asked(born=0)
+    refusals: backpressure_state.BackpressureState = dataclasses.field(
+        default_factory=lambda: backpressure_state.BackpressureState(born=0)
     )
     ejected_until: float = float("-inf")
 
@@ -84,7 +84,7 @@
     def record_success(self, first_token: float) -> None:
         """Record a success and its seconds to the first token."""
         self.failures = 0
-        self.refusals.forgive()
+        self.refusals.reset()
         self.samples += 1
         if self.samples == 1:
             self.first_token_s = first_token
--- a/jasperweir/daemons/agent.py
+++ b/jasperweir/daemons/agent.py
@@ -204,9 +204,13 @@
         """
         replica = self.agent.replica
         bundle = replica.bundle
-        if not replica.ready or bundle is None or replica.floor is None:
+        if (
+            not replica.is_ready
+            or bundle is None
+            or replica.min_revision is None
+        ):
             return []
-        self.side.gate.raise_fence(replica.floor)
+        self.side.gate.raise_fence(replica.min_revision)
         return self._planner.plan(
             bundle, replica.table.revision, reported, self.host.now()
         )
@@ -279,8 +283,8 @@
                 "group": group.name,
                 "agent": self.host.cfg.name,
                 "role": "coordinator" if coordinator else "host",
-                "term": group.guard.term,
-                "steps": group.guard.done & step_mask,
+                "term": group.step_gate.term,
+                "steps": group.step_gate.done & step_mask,
                 "skew": self.side.skew,
                 "planned_skew": group.planned_skew,
                 "moves": group.moves,
--- a/jasperweir/daemons/entry.py
+++ b/jasperweir/daemons/entry.py
@@ -106,7 +106,9 @@
         deadline = clocks.elapsed() + self._drain_s
         while self.entry.active() and clocks.elapsed() < deadline:
             time.sleep(0.1)
-        self.host.runner.call(lambda: self._perform(self.entry.gossip.left()))
+        self.host.runner.call(
+            lambda: self._perform(self.entry.gossip.announce_left())
+        )
         time.sleep(0.2)
         self._done.set()
 
@@ -204,7 +206,7 @@
                 "ready": ready,
                 "version": entry.replica.version,
                 "revision": entry.replica.table.revision,
-                "floor": entry.replica.floor,
+                "floor": entry.replica.min_revision,
                 "claims_epoch": entry.claim_owner.epoch,
                 "claims_ready_epoch": entry.claim_owner.ready_epoch,
                 "claims_confirmed": entry.claim_owner.has_authority(
--- a/jasperweir/daemons/site_agent.py
+++ b/jasperweir/daemons/site_agent.py
@@ -162,15 +162,15 @@
     async def _read_choices(self) -> expert_counts.ExpertCounts:
         """Return how often experts were selected since the last heartbeat."""
         if not self._report_schedule.counted:
-            return expert_counts.NO_CHOICES
+            return expert_counts.NO_COUNTS
         raw = await self._engine.fetch(self._dialect.COUNTS_TARGET)
         if raw is None:
-            return expert_counts.NO_CHOICES
+            return expert_counts.NO_COUNTS
         try:
             counts = self._dialect.counts(raw)
         except ValueError as exc:
             _log.warning("counts cannot be read", reason=str(exc))
-            return expert_counts.NO_CHOICES
+            return expert_counts.NO_COUNTS
         dropped_before = self._count_differ.dropped
         choices = self._count_differ.update(counts, self._host.now())
         if self._count_differ.dropped > dropped_before:
--- a/jasperweir/daemons/site_control.py
+++ b/jasperweir/daemons/site_control.py
@@ -20,7 +20,7 @@
 from jasperweir.components.mapswitch import relays as relays_lib
 from jasperweir.components.mapswitch import slow_target_notifier
 from jasperweir.components.quarantine import messages as quarantine_messages
-from jasperweir.components.quarantine import spread as spread_lib
+from jasperweir.components.quarantine import replication as spread_lib
 from jasperweir.components.quorum import actions
 from jasperweir.components.quorum import null_storage
 from jasperweir.components.quorum import storage as storage_lib
--- a/jasperweir/daemons/site_entry.py
+++ b/jasperweir/daemons/site_entry.py
@@ -10,8 +10,8 @@
 from jasperweir.components.address import entry_selection
 from jasperweir.components.balance import budget as budget_lib
 from jasperweir.components.balance import const as balance_const
+from jasperweir.components.balance import entry_cell as neighbours_lib
 from jasperweir.components.balance import messages as balance_messages
-from jasperweir.components.balance import neighbours as neighbours_lib
 from jasperweir.components.deployment import index as index_lib
 from jasperweir.components.deployment import model
 from jasperweir.components.directory import const as directory_const
@@ -23,7 +23,7 @@
 from jasperweir.components.mapswitch import messages as mapswitch_messages
 from jasperweir.components.quarantine import const as quarantine_const
 from jasperweir.components.quarantine import messages as quarantine_messages
-from jasperweir.components.quarantine import spread as spread_lib
+from jasperweir.components.quarantine import replication as spread_lib
 from jasperweir.daemons import engine_client
 from jasperweir.daemons import loop_host
 from jasperweir.daemons import node_settings
@@ -119,7 +119,7 @@
             rng=self._host.rng,
             dialect=dialect,
             directory=self._discovery.directory,
-            neighbours=neighbours_lib.Neighbours(
+            neighbours=neighbours_lib.EntryCell(
                 name=cfg.internal, place=cfg.place
             ),
             bounds=bounds,
@@ -228,7 +228,7 @@
         now = self._host.now()
         names = [node.name for node in self._forwarder.neighbours.peers]
         names += self._discovery.reachable_controls(now)
-        self._send_all(spread_lib.tell(marks, names))
+        self._send_all(spread_lib.send_marks(marks, names))
         self._forwarder.reject_quarantined(now)
 
     def _compare_marks(self) -> None:
--- a/jasperweir/daemons/solo.py
+++ b/jasperweir/daemons/solo.py
@@ -12,7 +12,7 @@
 import urllib3
 
 from jasperweir import core
-from jasperweir.components.bundle import model
+from jasperweir.components.bundle import flat_content
 from jasperweir.daemons import agent as agent_daemon
 from jasperweir.daemons import config
 from jasperweir.daemons import control as control_daemon
@@ -151,12 +151,12 @@
         for name in ("target", "control", "entry", "agent"):
             self._kernel.get(name, object).start()  # type: ignore[attr-defined]
         self._post_until_accepted("/bootstrap", {})
-        content = model.from_ini(BUNDLE, "solo")
+        content = flat_content.from_ini(BUNDLE, "solo")
         sign_off = {
             "op_id": "first",
             "parent": 0,
             "change": content,
-            "content_hash": model.content_hash(content),
+            "content_hash": flat_content.content_hash(content),
             "note": "",
         }
         self._post_until_accepted("/ops/sign_off", sign_off)
--- a/script/bench_control.py
+++ b/script/bench_control.py
@@ -11,7 +11,7 @@
 
 import urllib3
 
-from jasperweir.components.bundle import model
+from jasperweir.components.bundle import flat_content
 from jasperweir.components.quorum import messages
 from jasperweir.components.quorum import storage
 from standins import local as local_lib
@@ -30,7 +30,7 @@
     def __init__(self, *, addresses: list[str]) -> None:
         self._addresses = addresses
         self._http = urllib3.PoolManager(retries=False)
-        self._content = model.from_ini(BUNDLE, "bench")
+        self._content = flat_content.from_ini(BUNDLE, "bench")
         self._before: dict[str, str] = {}
         self.version = 0
         self._number = 0
@@ -42,8 +42,8 @@
         body = {
             "op_id": f"op-{self._number}",
             "parent": self.version,
-            "change": model.diff(self._before, new),
-            "content_hash": model.content_hash(new),
+            "change": flat_content.diff(self._before, new),
+            "content_hash": flat_content.content_hash(new),
             "note": "",
         }
         for address in list(self._addresses):
--- a/script/slopes.py
+++ b/script/slopes.py
@@ -14,7 +14,7 @@
 import numpy as np
 
 from jasperweir import core
-from jasperweir.components.bundle import model
+from jasperweir.components.bundle import flat_content
 from jasperweir.components.claims import messages as claim_messages
 from jasperweir.components.claims import owner as owner_lib
 from jasperweir.components.claims import partitions
@@ -26,8 +26,8 @@
 from jasperweir.components.membership import announcer as announcer_lib
 from jasperweir.components.membership import gossip as gossip_lib
 from jasperweir.components.membership import messages as member_messages
-from jasperweir.components.registry import machine as machine_lib
 from jasperweir.components.registry import ops
+from jasperweir.components.registry import state_machine as machine_lib
 from jasperweir.helpers import codec
 from standins import local as local_lib
 
@@ -280,7 +280,7 @@
     return row
 
 
-def bundle_content(customers: int) -> model.Content:
+def bundle_content(customers: int) -> flat_content.Content:
     """Return a bundle of the target's shape."""
     lines = ["[bundle]", "name = big"]
     for i in range(PLACES):
@@ -289,14 +289,14 @@
         lines += [f"[service model-{i}]", "kind = model", "adapters = fr, ar"]
     for i in range(customers):
         lines += [f"[customer customer-{i}]", f"weight = {1 + i % 7}"]
-    return model.from_ini("\n".join(lines), "big")
+    return flat_content.from_ini("\n".join(lines), "big")
 
 
 def changes(sizes: list[int]) -> list[dict[str, Any]]:
     """Measure one configuration change against the number of customers."""
     rows = []
     for customers in sizes:
-        machine = machine_lib.Machine()
+        machine = machine_lib.StateMachine()
         machine.table.log_id = "log"
         content = bundle_content(customers)
         _apply(machine, 1, _sign_off(machine, content))
@@ -343,17 +343,19 @@
     return rows
 
 
-def _sign_off(machine: machine_lib.Machine, new: model.Content) -> ops.SignOff:
-    change = model.diff(machine.content(machine.head), new)
+def _sign_off(
+    machine: machine_lib.StateMachine, new: flat_content.Content
+) -> ops.SignOff:
+    change = flat_content.diff(machine.content(machine.head), new)
     return ops.SignOff(
         machine.head,
         tuple(sorted(change.items())),
-        model.content_hash(new),
+        flat_content.content_hash(new),
         "",
     )
 
 
-def _apply(machine: machine_lib.Machine, idx: int, op: Any) -> None:
+def _apply(machine: machine_lib.StateMachine, idx: int, op: Any) -> None:
     req = ops.Request(f"op-{idx}", "bench", 0.0, codec.pack_tagged(op))
     answer = machine.apply(idx, codec.pack(req))
     assert answer.code == 1002, answer
