--- a/features/harness/group_simulation.py
+++ b/features/harness/group_simulation.py
@@ -8,9 +8,9 @@
 
 import random
 
-from jasperweir.components.balance import late_admission as late_lib
+from jasperweir.components.balance import late_admission as late_admission_lib
 from jasperweir.components.balance import passes as passes_lib
-from jasperweir.components.balance import wait_queue as gate_lib
+from jasperweir.components.balance import wait_queue as wait_queue_lib
 
 ENGINES = 12
 SLOTS = 6
@@ -53,7 +53,7 @@
         pause_s=PAUSE_SECONDS, fixed_s=0.027, slots=SLOTS
     )
     limit = passes_lib.PassLimit(bounds=bounds)
-    gate = gate_lib.WaitQueue()
+    gate = wait_queue_lib.WaitQueue()
     now, number, next_at = 0.0, 0, 0.0
     running, ended, lost = [], [], 0
     while now < seconds:
@@ -61,7 +61,7 @@
             until = next_at + 1.0
             timely = next_at + TARGET_SECONDS - 0.2
             gate.enqueue(
-                gate_lib.QueuedRequest(
+                wait_queue_lib.QueuedRequest(
                     1, next_at, number, until, next_at, timely
                 )
             )
@@ -100,11 +100,11 @@
         pause_s=PAUSE_SECONDS, fixed_s=0.027, slots=SLOTS
     )
     limit = passes_lib.PassLimit(bounds=bounds)
-    gate = gate_lib.WaitQueue()
+    gate = wait_queue_lib.WaitQueue()
     arrivals, number, retried = {}, 0, set()
     for _ in range(late_count):
         gate.enqueue(
-            gate_lib.QueuedRequest(
+            wait_queue_lib.QueuedRequest(
                 1, -1.5, number, LATE_WAIT_SECONDS, 0.0, -1.0
             )
         )
@@ -116,7 +116,7 @@
         while next_at <= now and next_at < seconds:
             timely = next_at + TARGET_SECONDS - 0.2
             gate.enqueue(
-                gate_lib.QueuedRequest(
+                wait_queue_lib.QueuedRequest(
                     1, next_at, number, next_at + 1.0, next_at, timely
                 )
             )
@@ -129,14 +129,14 @@
                 retry_at = now + rng.uniform(*RETRY_SECONDS)
                 until = retry_at + LATE_WAIT_SECONDS
                 gate.enqueue(
-                    gate_lib.QueuedRequest(
+                    wait_queue_lib.QueuedRequest(
                         1, -1.5, refused, until, retry_at, -1.0
                     )
                 )
         capacity = min(ENGINES * SLOTS, limit.streams(now) * ENGINES)
         late_slots = None
         if limit_late:
-            late_slots = late_lib.max_open_requests(
+            late_slots = late_admission_lib.max_open_requests(
                 slots=ENGINES * SLOTS, targets=ENGINES, limit=limit, now=now
             ) - len(running)
         free = int(capacity) - len(running)
--- a/features/harness/hop.py
+++ b/features/harness/hop.py
@@ -179,7 +179,7 @@
             rng=random.Random(1),
             dialect=Dialect(),
             directory=self.directory,
-            neighbours=entry_cell.EntryCell(name="e1", place="p"),
+            cell=entry_cell.EntryCell(name="e1", place="p"),
             bounds=bounds,
             times=http_client.ClientTimeouts(),
             metrics=metrics.Metrics(labels={}),
--- a/features/steps/large_steps.py
+++ b/features/steps/large_steps.py
@@ -10,7 +10,7 @@
 
 from features.harness import engines
 from features.harness import site as site_lib
-from jasperweir.components.address import entry_selection as near_lib
+from jasperweir.components.address import entry_selection
 from jasperweir.components.balance import balancer as balancer_lib
 from jasperweir.components.balance import const as balance_const
 from jasperweir.components.balance import messages as balance_messages
@@ -301,7 +301,7 @@
 
 @when("the caller asks for addresses")
 def step_asks_for_addresses(context):
-    context.addresses_received = near_lib.choose_addresses(
+    context.addresses_received = entry_selection.choose_addresses(
         context.entries, "p", random.Random(1)
     )
 
--- a/features/steps/late_request_steps.py
+++ b/features/steps/late_request_steps.py
@@ -97,8 +97,8 @@
         "in time": NOW + 0.1,
         "late and resumed": float("inf"),
     }
-    context.gate = wait_queue.WaitQueue()
-    context.gate.enqueue(
+    context.wait_queue = wait_queue.WaitQueue()
+    context.wait_queue.enqueue(
         wait_queue.QueuedRequest(
             priority=1,
             since=NOW - 1.0,
@@ -112,14 +112,14 @@
 
 @when("{slots:d} slots are free, of which none is for late requests")
 def step_free_slots(context, slots):
-    context.admitted = context.gate.admit(slots, NOW, yielding=0)
+    context.admitted = context.wait_queue.admit(slots, NOW, yielding=0)
 
 
 @then("the waiting request {outcome}")
 def step_waiting_outcome(context, outcome):
     expected = {"still waits": [], "gets a slot": [7]}
     assert context.admitted == expected[outcome], context.admitted
-    assert len(context.gate) == (outcome == "still waits")
+    assert len(context.wait_queue) == (outcome == "still waits")
 
 
 class ResumingDialect(hop.Dialect):
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -152,20 +152,20 @@
 )
 def step_arrived(context, one, two, three, target):
     context.ages = (one, two, three)
-    context.gate = wait_queue.WaitQueue()
+    context.wait_queue = wait_queue.WaitQueue()
     for number, age in enumerate(context.ages):
         arrived = 10.0 - age
         waiting = wait_queue.QueuedRequest(
             1, arrived, number, 99.0, arrived, arrived + target
         )
-        context.gate.enqueue(waiting)
+        context.wait_queue.enqueue(waiting)
 
 
 @when("one slot after the other becomes free")
 def step_one_after(context):
     context.order = []
-    while len(context.gate):
-        (number,) = context.gate.admit(1, 10.0)
+    while len(context.wait_queue):
+        (number,) = context.wait_queue.admit(1, 10.0)
         context.order.append(context.ages[number])
 
 
--- a/features/steps/registry_steps.py
+++ b/features/steps/registry_steps.py
@@ -14,7 +14,7 @@
 from jasperweir.components.control import messages as control_messages
 from jasperweir.components.control import rollout as rollout_lib
 from jasperweir.components.registry import ops
-from jasperweir.components.registry import state_machine as machine_lib
+from jasperweir.components.registry import state_machine as state_machine_lib
 from jasperweir.daemons import config
 from jasperweir.helpers import codec
 from jasperweir.helpers import settings
@@ -28,7 +28,7 @@
     """Applies operations of operators to a state machine."""
 
     def __init__(self):
-        self.machine = machine_lib.StateMachine()
+        self.machine = state_machine_lib.StateMachine()
         self.machine.table.log_id = "log"
         self.log_index = 0
         self.op_count = 0
@@ -97,7 +97,7 @@
     context.first = registry.sign_off(content, op_id="same")
     for i in range(20, 30):
         registry.sign_off(registry.content_with(address_ttl_s=str(i)))
-    again = machine_lib.StateMachine()
+    again = state_machine_lib.StateMachine()
     again.load(registry.machine.dump())
     registry.machine = again
     context.head = registry.machine.head
--- a/jasperweir/components/configctl/node.py
+++ b/jasperweir/components/configctl/node.py
@@ -16,7 +16,7 @@
 from jasperweir.components.quorum import messages as quorum_messages
 from jasperweir.components.quorum import voter as voter_lib
 from jasperweir.components.registry import ops
-from jasperweir.components.registry import state_machine as machine_lib
+from jasperweir.components.registry import state_machine as state_machine_lib
 from jasperweir.helpers import codec
 from jasperweir.helpers import hashing
 
@@ -94,7 +94,7 @@
     ) -> None:
         self.name = name
         self.voter = voter
-        self.machine = machine_lib.StateMachine()
+        self.machine = state_machine_lib.StateMachine()
         self._wanted_seats = wanted_seats
         voter.wanted_voters = wanted_seats
         # Without a disk it holds no seat and forwards requests to the leader.
--- a/jasperweir/components/control/appointments.py
+++ b/jasperweir/components/control/appointments.py
@@ -4,13 +4,13 @@
 from jasperweir.components.membership import messages as member_messages
 from jasperweir.components.membership import roster as roster_lib
 from jasperweir.components.registry import ops
-from jasperweir.components.registry import state_machine as machine_lib
+from jasperweir.components.registry import state_machine as state_machine_lib
 
 Status = member_messages.Status
 
 
 def next_appointment(
-    machine: machine_lib.StateMachine, roster: roster_lib.Roster
+    machine: state_machine_lib.StateMachine, roster: roster_lib.Roster
 ) -> ops.Appoint | None:
     """Return the next appointment that is due, or None.
 
--- a/jasperweir/components/control/controller.py
+++ b/jasperweir/components/control/controller.py
@@ -18,7 +18,7 @@
 from jasperweir.components.quorum import messages as quorum_messages
 from jasperweir.components.quorum import voter as voter_lib
 from jasperweir.components.registry import ops
-from jasperweir.components.registry import state_machine as machine_lib
+from jasperweir.components.registry import state_machine as state_machine_lib
 from jasperweir.helpers import codec
 
 Actions = list[Any]
@@ -47,7 +47,7 @@
         *,
         voter: voter_lib.Voter,
         gossip: gossip_lib.Gossip,
-        machine: machine_lib.StateMachine,
+        machine: state_machine_lib.StateMachine,
         address: str,
     ) -> None:
         self.voter = voter
--- a/jasperweir/components/entry/node.py
+++ b/jasperweir/components/entry/node.py
@@ -25,7 +25,7 @@
 from jasperweir.components.quarantine import fingerprint as fingerprint_lib
 from jasperweir.components.quarantine import ledger as ledger_lib
 from jasperweir.components.quarantine import messages as quarantine_messages
-from jasperweir.components.quarantine import replication as spread_lib
+from jasperweir.components.quarantine import replication as replication_lib
 from jasperweir.components.routing import router as router_lib
 
 Actions = list[Any]
@@ -106,7 +106,7 @@
         self.budget = retry.RetryBudget()
         self.burn = windows_lib.Windows()
         self.ledger = ledger_lib.Ledger()
-        self._mark_replication = spread_lib.EntrySpread(ledger=self.ledger)
+        self._mark_replication = replication_lib.EntrySpread(ledger=self.ledger)
         self._next_compare_at = 0.0
         self.draining = False
         self._last_burn_rate = 0.0
@@ -234,14 +234,14 @@
     ) -> Actions:
         """Record that an engine crashed under a request; notify others."""
         marks = self.ledger.add(fingerprint, incarnation, now)
-        return list(spread_lib.send_marks(marks, self._other_entries()))
+        return list(replication_lib.send_marks(marks, self._other_entries()))
 
     def record_complete_answer(
         self, fingerprint: fingerprint_lib.Fingerprint, now: float
     ) -> Actions:
         """Record that a request was answered completely; notify others."""
         marks = self.ledger.clear_marks(fingerprint, now)
-        return list(spread_lib.send_marks(marks, self._other_entries()))
+        return list(replication_lib.send_marks(marks, self._other_entries()))
 
     def addresses(
         self, *, service: str, place: str, salt: str
--- a/jasperweir/components/forward/admission.py
+++ b/jasperweir/components/forward/admission.py
@@ -57,10 +57,10 @@
         if self._outages.get(exchange.service).is_active(now):
             # The first requests serve as probes for the end of the outage.
             return True
-        gate = self._queues.get(exchange.service).gate
+        wait_queue = self._queues.get(exchange.service).wait_queue
         if self._queues.is_timely(exchange, now):
-            return not gate.count_timely(now)
-        if len(gate):
+            return not wait_queue.count_timely(now)
+        if len(wait_queue):
             return False
         return candidates.late_slots >= 1 or not self._startup_grace.is_active(
             now
@@ -113,7 +113,7 @@
     ) -> None:
         """Queue a request until a target is available, or reject it."""
         state = exchange.state
-        ahead = len(self._queues.get(exchange.service).gate)
+        ahead = len(self._queues.get(exchange.service).wait_queue)
         available_in_s = self._targets.seconds_until_available(
             exchange.service, state.tried_target_ids, ahead, now
         )
--- a/jasperweir/components/forward/available_targets.py
+++ b/jasperweir/components/forward/available_targets.py
@@ -1,6 +1,6 @@
 """Targets of a service that accept requests now."""
 
-from jasperweir.components.backpressure import backpressure as asked_lib
+from jasperweir.components.backpressure import backpressure as backpressure_lib
 from jasperweir.components.balance import outage as outage_lib
 from jasperweir.components.directory import directory as directory_lib
 from jasperweir.components.directory import records
@@ -30,7 +30,7 @@
             outages: Services whose targets all refuse requests.
             name: Name of this entry.
         """
-        self.backpressure = asked_lib.Backpressure(name=name)
+        self.backpressure = backpressure_lib.Backpressure(name=name)
         self._directory = directory
         self._outages = outages
 
--- a/jasperweir/components/forward/capacity.py
+++ b/jasperweir/components/forward/capacity.py
@@ -5,8 +5,8 @@
 from typing import NamedTuple
 
 from jasperweir.components.balance import balancer as balancer_lib
-from jasperweir.components.balance import entry_cell as neighbours_lib
-from jasperweir.components.balance import late_admission as late_lib
+from jasperweir.components.balance import entry_cell as entry_cell_lib
+from jasperweir.components.balance import late_admission as late_admission_lib
 from jasperweir.components.balance import passes as passes_lib
 from jasperweir.components.directory import records
 
@@ -40,12 +40,12 @@
         self,
         *,
         balancer: balancer_lib.Balancer,
-        neighbours: neighbours_lib.EntryCell,
+        cell: entry_cell_lib.EntryCell,
         rng: random.Random,
     ) -> None:
         self.entry_count = 1
         self._balancer = balancer
-        self._neighbours = neighbours
+        self._cell = cell
         self._rng = rng
 
     def find_candidates(
@@ -61,11 +61,11 @@
             limit: Limit on the streams of the service's group, if there is one.
             now: Monotonic seconds.
         """
-        nearby = self._neighbours.preferred_targets(targets, self._rng.random())
+        nearby = self._cell.preferred_targets(targets, self._rng.random())
         if len(nearby) == len(targets):
             return self._count_capacity(nearby, limit, self.entry_count, now)
         candidates = self._count_capacity(
-            nearby, limit, 1 + len(self._neighbours.peers), now
+            nearby, limit, 1 + len(self._cell.peers), now
         )
         if candidates.free_slots >= 1:
             return candidates
@@ -82,7 +82,7 @@
         Returns:
             Mean number of open requests of these targets.
         """
-        nearby = self._neighbours.preferred_targets(targets, self._rng.random())
+        nearby = self._cell.preferred_targets(targets, self._rng.random())
         streams = self.count_open(nearby, now) / max(len(nearby), 1)
         limit.update(streams, now)
         return streams
@@ -101,7 +101,7 @@
             max_streams = limit.streams(now) * len(targets)
             if math.isfinite(max_streams):
                 free_slots = min(free_slots, int(max_streams) - loads.open)
-        max_open = late_lib.max_open_requests(
+        max_open = late_admission_lib.max_open_requests(
             slots=sum(target.slots for target in targets),
             targets=len(targets),
             limit=limit,
--- a/jasperweir/components/forward/forwarder.py
+++ b/jasperweir/components/forward/forwarder.py
@@ -9,10 +9,10 @@
 from jasperweir.components.balance import balancer as balancer_lib
 from jasperweir.components.balance import budget as budget_lib
 from jasperweir.components.balance import const as balance_const
-from jasperweir.components.balance import entry_cell as neighbours_lib
+from jasperweir.components.balance import entry_cell as entry_cell_lib
 from jasperweir.components.balance import messages as balance_messages
 from jasperweir.components.balance import outage as outage_lib
-from jasperweir.components.balance import wait_estimate as patience_lib
+from jasperweir.components.balance import wait_estimate as wait_estimate_lib
 from jasperweir.components.deployment import index as index_lib
 from jasperweir.components.directory import directory as directory_lib
 from jasperweir.components.directory import records
@@ -44,7 +44,7 @@
 
     Attributes:
         balancer: Open requests and health of targets.
-        neighbours: Entries and targets in the same cell as this entry.
+        cell: Entries and targets in the same cell as this entry.
         capacity: Free slots at targets, nearby ones first.
         pass_monitor: Pass times of engine groups and the resulting limits.
         outcomes: Updates of shared state after each attempt.
@@ -67,7 +67,7 @@
         rng: random.Random,
         dialect: dialect_lib.Dialect,
         directory: directory_lib.Directory,
-        neighbours: neighbours_lib.EntryCell,
+        cell: entry_cell_lib.EntryCell,
         bounds: budget_lib.BudgetBounds,
         times: http_client.ClientTimeouts,
         metrics: metrics_lib.Metrics,
@@ -80,9 +80,9 @@
         self.on_work: Callable[[], None] = lambda: None
         self._clock = clock
         self._rng = rng
-        self.neighbours = neighbours
+        self.cell = cell
         self.capacity = capacity_lib.CapacityFinder(
-            balancer=self.balancer, neighbours=neighbours, rng=rng
+            balancer=self.balancer, cell=cell, rng=rng
         )
         self._directory = directory
         self._budget = budget_lib.RetryBudget(bounds=bounds)
@@ -96,7 +96,7 @@
         self._rejections = rejections.RejectionResponder(
             dialect=dialect, rng=rng
         )
-        self._patience = patience_lib.WaitEstimator()
+        self._patience = wait_estimate_lib.WaitEstimator()
         self._outages = outage_lib.Outages()
         self._early_requests = early_requests.EarlyRequestBuffer()
         self._startup_grace = startup_grace_lib.StartupGrace(
@@ -106,14 +106,14 @@
         self._open_exchanges: dict[int, exchange_lib.Exchange] = {}
         self._queues = queues_lib.Queues(
             balancer=self.balancer,
-            neighbours=neighbours,
+            cell=cell,
             outages=self._outages,
             rng=rng,
         )
         self.targets = available_targets.AvailableTargets(
             directory=directory,
             outages=self._outages,
-            name=neighbours.name,
+            name=cell.name,
         )
         self.outcomes = outcome_tracker.OutcomeTracker(
             clock=clock,
@@ -334,7 +334,7 @@
     def reject_quarantined(self, now: float) -> None:
         """Reject queued requests that are quarantined by now."""
         for service in self._queues.list_waiting_services():
-            for number in self._queues.get(service).gate.numbers():
+            for number in self._queues.get(service).wait_queue.numbers():
                 exchange = self._open_exchanges.get(number)
                 if exchange is not None:
                     self.crash_detector.reject_if_quarantined(exchange, now)
@@ -375,7 +375,7 @@
 
     def _serve_queue(self, service: str, now: float) -> None:
         """Send the admitted requests of a queue and reject the expired ones."""
-        gate = self._queues.get(service).gate
+        wait_queue = self._queues.get(service).wait_queue
         targets = self.targets.list_available(service, now)
         candidates = self._find_candidates(service, targets, now)
         is_starting = self._startup_grace.is_active(now)
@@ -385,11 +385,13 @@
         # Late requests yield slots to timely ones only during startup. In any
         # other overload this costs more rejections than it avoids.
         yielding = admissible.yielding if is_starting else None
-        for number in gate.admit(admissible.total, now, yielding=yielding):
+        for number in wait_queue.admit(
+            admissible.total, now, yielding=yielding
+        ):
             exchange = self._open_exchanges.get(number)
             if exchange is not None:
                 self._send_within_budget(exchange, candidates, now)
-        for number in gate.expire(now):
+        for number in wait_queue.expire(now):
             exchange = self._open_exchanges.get(number)
             if exchange is not None:
                 exchange.fail(Code.OVERLOADED)
@@ -440,7 +442,7 @@
     def on_entries(self, entries: tuple[records.Node, ...]) -> None:
         """Update the list of entries, this one included."""
         self.capacity.entry_count = max(len(entries), 1)
-        self.neighbours.on_entries(entries)
+        self.cell.on_entries(entries)
         names = (entry.name for entry in entries)
         self.targets.backpressure.shares.on_entries(names, self.now())
 
--- a/jasperweir/components/forward/outcome_tracker.py
+++ b/jasperweir/components/forward/outcome_tracker.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from jasperweir import core
-from jasperweir.components.backpressure import backpressure as asked_lib
+from jasperweir.components.backpressure import backpressure as backpressure_lib
 from jasperweir.components.backpressure import signals as signals_lib
 from jasperweir.components.balance import balancer as balancer_lib
 from jasperweir.components.balance import const
@@ -58,7 +58,7 @@
             target, signals, now, sent_at
         )
         self._recorder.record_signals(target, signals, changes)
-        if asked_lib.Change.LEAVES in changes:
+        if backpressure_lib.Change.LEAVES in changes:
             self.on_draining(target)
 
     def on_fault(
--- a/jasperweir/components/forward/queues.py
+++ b/jasperweir/components/forward/queues.py
@@ -5,11 +5,11 @@
 
 from jasperweir.components.balance import balancer as balancer_lib
 from jasperweir.components.balance import const as balance_const
-from jasperweir.components.balance import entry_cell as neighbours_lib
+from jasperweir.components.balance import entry_cell as entry_cell_lib
 from jasperweir.components.balance import forecast as forecast_lib
 from jasperweir.components.balance import messages
 from jasperweir.components.balance import outage as outage_lib
-from jasperweir.components.balance import wait_queue as gate_lib
+from jasperweir.components.balance import wait_queue as wait_queue_lib
 from jasperweir.components.forward import capacity as capacity_lib
 from jasperweir.components.forward import exchange as exchange_lib
 
@@ -18,12 +18,12 @@
     """Waiting requests of one service at this entry.
 
     Attributes:
-        gate: Waiting requests by priority.
+        wait_queue: Waiting requests by priority.
         forecast: Estimate of how long requests of this service take.
     """
 
     def __init__(self) -> None:
-        self.gate = gate_lib.WaitQueue()
+        self.wait_queue = wait_queue_lib.WaitQueue()
         self.forecast = forecast_lib.Forecast()
 
 
@@ -34,12 +34,12 @@
         self,
         *,
         balancer: balancer_lib.Balancer,
-        neighbours: neighbours_lib.EntryCell,
+        cell: entry_cell_lib.EntryCell,
         outages: outage_lib.Outages,
         rng: random.Random,
     ) -> None:
         self._balancer = balancer
-        self._neighbours = neighbours
+        self._cell = cell
         self._outages = outages
         self._rng = rng
         self._by_service: dict[str, Queue] = {}
@@ -50,7 +50,9 @@
 
     def list_waiting_services(self) -> list[str]:
         """Return the services that have waiting requests."""
-        return [name for name, q in self._by_service.items() if len(q.gate)]
+        return [
+            name for name, q in self._by_service.items() if len(q.wait_queue)
+        ]
 
     def estimate_wait_s(
         self,
@@ -69,7 +71,9 @@
         """
         queue = self.get(service)
         # Late requests are served after timely ones and do not count.
-        ahead = queue.gate.count_timely(now) - min(candidates.free_slots, 0)
+        ahead = queue.wait_queue.count_timely(now) - min(
+            candidates.free_slots, 0
+        )
         ahead += self._balancer.queue_elsewhere(service, now).timely
         return queue.forecast.wait_s(ahead=ahead, running=running)
 
@@ -84,8 +88,8 @@
         """
         state = exchange.state
         queue = self.get(exchange.service)
-        queue.gate.enqueue(
-            gate_lib.QueuedRequest(
+        queue.wait_queue.enqueue(
+            wait_queue_lib.QueuedRequest(
                 priority=state.match.priority,
                 since=state.first_attempt_at,
                 number=exchange.number,
@@ -97,7 +101,7 @@
 
     def remove(self, exchange: exchange_lib.Exchange) -> bool:
         """Remove a finished request and return whether it was queued."""
-        return self.get(exchange.service).gate.remove(exchange.number)
+        return self.get(exchange.service).wait_queue.remove(exchange.number)
 
     def is_timely(self, exchange: exchange_lib.Exchange, now: float) -> bool:
         """Return whether a request sent now can meet its target time."""
@@ -139,7 +143,7 @@
             )
         other_queues = self._balancer.queue_elsewhere(service, now)
         # The queues of entries outside the own cell are unknown.
-        known_entries = 1 + len(self._neighbours.peers)
+        known_entries = 1 + len(self._cell.peers)
         known_share = min(1.0, known_entries / max(candidates.entry_count, 1))
         own_queue = self._summarize(service, now)
         return forecast_lib.allocate_slots(
@@ -171,6 +175,6 @@
             self._balancer.note_queue(self._summarize(service, now))
 
     def _summarize(self, service: str, now: float) -> messages.Queue:
-        gate = self.get(service).gate
-        timely = gate.count_timely(now)
-        return messages.Queue(service, timely, len(gate) - timely)
+        wait_queue = self.get(service).wait_queue
+        timely = wait_queue.count_timely(now)
+        return messages.Queue(service, timely, len(wait_queue) - timely)
--- a/jasperweir/components/forward/recorder.py
+++ b/jasperweir/components/forward/recorder.py
@@ -3,7 +3,7 @@
 import math
 
 from jasperweir import result_codes
-from jasperweir.components.backpressure import backpressure as asked_lib
+from jasperweir.components.backpressure import backpressure as backpressure_lib
 from jasperweir.components.backpressure import signals as signals_lib
 from jasperweir.components.directory import records
 from jasperweir.components.forward import dialect as dialect_lib
@@ -196,7 +196,7 @@
         self,
         target: records.Target,
         signals: signals_lib.Signals,
-        changes: list[asked_lib.Change],
+        changes: list[backpressure_lib.Change],
     ) -> None:
         """Record changed backpressure signals of a target."""
         for change in changes:
--- a/jasperweir/components/forward/rejections.py
+++ b/jasperweir/components/forward/rejections.py
@@ -3,7 +3,7 @@
 import random
 
 from jasperweir import result_codes
-from jasperweir.components.balance import retry_advice as advice_lib
+from jasperweir.components.balance import retry_advice as retry_advice_lib
 from jasperweir.components.forward import dialect as dialect_lib
 from jasperweir.helpers import http_server
 
@@ -17,7 +17,7 @@
         self, *, dialect: dialect_lib.Dialect, rng: random.Random
     ) -> None:
         self._dialect = dialect
-        self._advice = advice_lib.RetryAdvice(rng=rng)
+        self._advice = retry_advice_lib.RetryAdvice(rng=rng)
 
     def reject(
         self,
--- a/jasperweir/daemons/control.py
+++ b/jasperweir/daemons/control.py
@@ -16,7 +16,7 @@
 from jasperweir.components.quorum import actions as quorum_actions
 from jasperweir.components.quorum import storage as storage_lib
 from jasperweir.components.quorum import voter as voter_lib
-from jasperweir.components.registry import state_machine as machine_lib
+from jasperweir.components.registry import state_machine as state_machine_lib
 from jasperweir.daemons import base
 from jasperweir.daemons import config
 from jasperweir.daemons import operator_api
@@ -63,7 +63,7 @@
 
     def _build_controller(self, recovered: Any) -> controller_lib.Controller:
         cfg = self.host.cfg
-        machine = machine_lib.StateMachine()
+        machine = state_machine_lib.StateMachine()
         own = member_messages.Member(
             name=cfg.name,
             kind=member_const.KIND_CONTROL,
--- a/jasperweir/daemons/control_calls.py
+++ b/jasperweir/daemons/control_calls.py
@@ -110,7 +110,7 @@
 ) -> discovery_server.StartedRequest:
     match call:
         case calls_lib.Replace():
-            _log.info("replace requested", version=call.deployment.version)
+            _log.info("replace asked", version=call.deployment.version)
             data = zlib.compress(call.raw, const.COMPRESS_LEVEL)
             return node.replace(call.deployment.version, data, now)
         case calls_lib.Announce():
--- a/jasperweir/daemons/site_control.py
+++ b/jasperweir/daemons/site_control.py
@@ -20,7 +20,7 @@
 from jasperweir.components.mapswitch import relays as relays_lib
 from jasperweir.components.mapswitch import slow_target_notifier
 from jasperweir.components.quarantine import messages as quarantine_messages
-from jasperweir.components.quarantine import replication as spread_lib
+from jasperweir.components.quarantine import replication as replication_lib
 from jasperweir.components.quorum import actions
 from jasperweir.components.quorum import null_storage
 from jasperweir.components.quorum import storage as storage_lib
@@ -77,7 +77,7 @@
             make_group=self._group_loader.create_group,
             term_at=self._get_leader_term,
         )
-        self._mark_replication = spread_lib.ControlSpread()
+        self._mark_replication = replication_lib.ControlSpread()
         self._engines: dict[str, model.Engine] = {}
         # Sends orders directly to engines whose agents do not respond.
         self._remote_engines = engine_client.RemoteEngines(
--- a/jasperweir/daemons/site_entry.py
+++ b/jasperweir/daemons/site_entry.py
@@ -10,7 +10,7 @@
 from jasperweir.components.address import entry_selection
 from jasperweir.components.balance import budget as budget_lib
 from jasperweir.components.balance import const as balance_const
-from jasperweir.components.balance import entry_cell as neighbours_lib
+from jasperweir.components.balance import entry_cell as entry_cell_lib
 from jasperweir.components.balance import messages as balance_messages
 from jasperweir.components.deployment import index as index_lib
 from jasperweir.components.deployment import model
@@ -23,7 +23,7 @@
 from jasperweir.components.mapswitch import messages as mapswitch_messages
 from jasperweir.components.quarantine import const as quarantine_const
 from jasperweir.components.quarantine import messages as quarantine_messages
-from jasperweir.components.quarantine import replication as spread_lib
+from jasperweir.components.quarantine import replication as replication_lib
 from jasperweir.daemons import engine_client
 from jasperweir.daemons import loop_host
 from jasperweir.daemons import node_settings
@@ -119,9 +119,7 @@
             rng=self._host.rng,
             dialect=dialect,
             directory=self._discovery.directory,
-            neighbours=neighbours_lib.EntryCell(
-                name=cfg.internal, place=cfg.place
-            ),
+            cell=entry_cell_lib.EntryCell(name=cfg.internal, place=cfg.place),
             bounds=bounds,
             times=http_client.ClientTimeouts(),
             metrics=self._host.metrics,
@@ -134,7 +132,7 @@
         self._forwarder.on_work = self._schedule_tick
         self._forwarder.crash_detector.on_marks = self._broadcast_marks
         ledger = self._forwarder.crash_detector.ledger
-        self._mark_replication = spread_lib.EntrySpread(ledger=ledger)
+        self._mark_replication = replication_lib.EntrySpread(ledger=ledger)
         page = quarantine_page.QuarantinePage(
             ledger=ledger, now=self._host.now, on_lifted=self._broadcast_marks
         )
@@ -226,9 +224,9 @@
     def _broadcast_marks(self, marks: crash_detector.Marks) -> None:
         """Send marks of crash-related requests to entries and control VMs."""
         now = self._host.now()
-        names = [node.name for node in self._forwarder.neighbours.peers]
+        names = [node.name for node in self._forwarder.cell.peers]
         names += self._discovery.reachable_controls(now)
-        self._send_all(spread_lib.send_marks(marks, names))
+        self._send_all(replication_lib.send_marks(marks, names))
         self._forwarder.reject_quarantined(now)
 
     def _compare_marks(self) -> None:
@@ -298,7 +296,7 @@
     def _send_share(self) -> None:
         self._share_scheduled = False
         share = self._forwarder.share()
-        for node in self._forwarder.neighbours.peers:
+        for node in self._forwarder.cell.peers:
             self._host.send(core.Send(dst=node.name, msg=share))
 
     # Graceful stop.
--- a/script/slopes.py
+++ b/script/slopes.py
@@ -27,7 +27,7 @@
 from jasperweir.components.membership import gossip as gossip_lib
 from jasperweir.components.membership import messages as member_messages
 from jasperweir.components.registry import ops
-from jasperweir.components.registry import state_machine as machine_lib
+from jasperweir.components.registry import state_machine as state_machine_lib
 from jasperweir.helpers import codec
 from standins import local as local_lib
 
@@ -296,7 +296,7 @@
     """Measure one configuration change against the number of customers."""
     rows = []
     for customers in sizes:
-        machine = machine_lib.StateMachine()
+        machine = state_machine_lib.StateMachine()
         machine.table.log_id = "log"
         content = bundle_content(customers)
         _apply(machine, 1, _sign_off(machine, content))
@@ -344,7 +344,7 @@
 
 
 def _sign_off(
-    machine: machine_lib.StateMachine, new: flat_content.Content
+    machine: state_machine_lib.StateMachine, new: flat_content.Content
 ) -> ops.SignOff:
     change = flat_content.diff(machine.content(machine.head), new)
     return ops.SignOff(
@@ -355,7 +355,7 @@
     )
 
 
-def _apply(machine: machine_lib.StateMachine, idx: int, op: Any) -> None:
+def _apply(machine: state_machine_lib.StateMachine, idx: int, op: Any) -> None:
     req = ops.Request(f"op-{idx}", "bench", 0.0, codec.pack_tagged(op))
     answer = machine.apply(idx, codec.pack(req))
     assert answer.code == 1002, answer
